--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -35,7 +35,8 @@
   std::unique_ptr<shared::SharedState> shared_state;
   std::unique_ptr<shared::Wallet> wallet;
   shared::Ledger::Counts counts;
-  double weight = 0;  // of all requests
+  double weight = 0;    // of all requests
+  bool leaves = false;  // it has been told to, and has not left yet
   Micros next_ask = 0, next_count = 0, unix_ahead = 0;
   Micros local(Micros t) const { return offset + static_cast<Micros>(rate * static_cast<double>(t)); }
 };
@@ -262,6 +263,7 @@
       }
       if (!up(i) && now_ >= boxes_[i].down_until) start(i);
     }
+    leave();
     std::vector<Flying> due;
     for (std::size_t k = 0; k < flying_.size();) {
       const Flying& f = flying_[k];
@@ -323,6 +325,25 @@
     }
   }
 
+  void leave() {
+    if (world_.leave_at == 0) return;
+    for (const std::size_t i : {std::size_t{0}, boxes_.size() - 1}) {
+      Box& b = boxes_[i];
+      if (!awake(i)) continue;
+      if (now_ == world_.leave_at * core::kMilli) {
+        b.agent->leave(b.local(now_));
+        b.leaves = true;
+        flush(i);
+      }
+      if (!b.leaves || !b.agent->left(b.local(now_))) continue;
+      b.shared_state.reset();
+      b.agent.reset();
+      b.leaves = false;
+      b.down_until = now_ + core::kSecond;
+      b.taken.clear();
+    }
+  }
+
   // ---- what routers share
 
   Micros unix_time(const Box& b) const { return 1'700'000'000 * core::kSecond + now_ + b.unix_ahead; }
--- a/tests/fleet/sim.h
+++ b/tests/fleet/sim.h
@@ -49,6 +49,9 @@
   fleet::LeaseTimes owners, leaders;              // the same, but for a planted fault
   bool disks_forget = false;                      // planted: a voter that crashes loses its last writes
   bool fenced = true;                             // planted: receivers take any number
+  // Off at 0. At this moment (ms) the first voter and the last router leave; each starts again once it has
+  // left.
+  unsigned leave_at = 0;
 
   // What routers share: a quota and a stock, requests by the thousand, and counts. Off without budgets.
   std::vector<shared::Budget> budgets;  // a quota of team "q", a stock of team "s"
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -101,6 +101,10 @@
 constexpr FleetRecording kSharingWithEveryFault{10102, 0x013adb6d53929514u};
 constexpr FleetRecording kTightSharing{10150, 0x66206f029db06b2cu};
 
+constexpr FleetRecording kLongFleet{24584, 0x3bade18d8f57c58au};
+constexpr FleetRecording kFleetThatIsLeft{5534, 0xaa03d66c4e9c35deu};
+constexpr FleetRecording kIdleSharing{6174, 0x44b39fe266a5f0b9u};
+
 TEST(FleetRecording, WithoutFaults) { expect_recorded(play(short_world(11), {}), kCalmFleet); }
 
 TEST(FleetRecording, WithFaultsOfEveryKind) {
@@ -135,6 +139,31 @@
       kTightSharing);
 }
 
+// Long enough for the record to be compacted, and for a router that is stopped over and over to judge its own
+// health at its worst.
+TEST(FleetRecording, LongAndWithARouterThatIsOftenStopped) {
+  World world = short_world(17);
+  world.faults_until = 90'000;
+  world.ends = 100'000;
+  std::vector<Fault> faults = faults_of_every_kind(17, 1, world.routers);
+  for (unsigned at = 20'000; at < 85'000; at += 2500)
+    faults.push_back({Fault::Kind::cut_off, 6, 0, at, 2100});
+  expect_recorded(play(world, faults), kLongFleet);
+}
+
+TEST(FleetRecording, RoutersThatLeave) {
+  World world = short_world(18);
+  world.leave_at = 7000;
+  expect_recorded(play(world, {}), kFleetThatIsLeft);
+}
+
+// Rows of counts that do not change for a while.
+TEST(FleetRecording, AlmostNothingAsked) {
+  World world = sharing_world(19);
+  world.asked = 0.3;
+  expect_recorded(play(world, {}), kIdleSharing);
+}
+
 // ---- the merge of endpoint sources
 
 using membership::Membership;
