--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -153,7 +153,7 @@
   std::vector<float> report;
 };
 
-struct Learned;  // src/learned.h
+struct Learned;  // src/policy/learned_state.h
 
 class ActionSink {
  public:
--- a/src/admin/figures.cpp
+++ b/src/admin/metrics.cpp
@@ -1,4 +1,4 @@
-#include "admin/figures.h"
+#include "admin/metrics.h"
 
 #include <prometheus/text_serializer.h>
 
--- a/src/commands/fleet.cpp
+++ b/src/commands/fleet.cpp
@@ -14,9 +14,9 @@
 
 #include "commands/commands.h"
 #include "config/config.h"
-#include "fleet/audit.h"
-#include "fleet/disk.h"
-#include "fleet/node.h"
+#include "coordination/audit.h"
+#include "coordination/raft_node.h"
+#include "coordination/raft_storage.h"
 #include "operator/operator_file.h"
 
 namespace flintglade::commands {
@@ -44,7 +44,7 @@
     good_ = !ec && to_.address().is_v4();
   }
   bool good() const { return good_; }
-  bool ask(const fleet::Packet& question, fleet::Packet& answer, int tries = kTries,
+  bool ask(const coordination::Packet& question, coordination::Packet& answer, int tries = kTries,
            std::chrono::milliseconds wait = kWait) {
     for (int i = 0; i < tries; ++i) {
       boost::system::error_code ec;
@@ -72,25 +72,26 @@
 };
 
 // The status of the router at this address, and its fleet's name. Empty: got, else one line.
-std::string status(const std::string& at, fleet::Packet& out) {
+std::string status(const std::string& at, coordination::Packet& out) {
   Line line(at);
   if (!line.good()) return at + " is not of the form ADDRESS:PORT";
-  fleet::Packet question;
+  coordination::Packet question;
   question.mutable_query();
   if (!line.ask(question, out)) return "no answer from " + at;
   return "";
 }
 
 // To whoever leads; others say where that is.
-std::string request(const std::string& at, fleet::Request what, std::chrono::milliseconds wait = kWait) {
-  fleet::Packet now;
+std::string request(const std::string& at, coordination::Request what,
+                    std::chrono::milliseconds wait = kWait) {
+  coordination::Packet now;
   std::string why = status(at, now);
   if (!why.empty()) return why;
   std::string to = now.status().leader_at().empty() ? at : now.status().leader_at();
   int elections = 0;
   for (int i = 0; i < kTries;) {
     Line line(to);
-    fleet::Packet question, answer;
+    coordination::Packet question, answer;
     question.set_fleet(now.fleet());
     question.set_from("operator");
     what.set_number(static_cast<std::uint64_t>(i + elections) + 1);
@@ -113,16 +114,17 @@
   return why;
 }
 
-const char* word(fleet::Standing s) {
+const char* word(coordination::Standing s) {
   static constexpr std::array<const char*, 4> kNames = {"alive", "suspect", "dead", "left"};
   return kNames[static_cast<std::size_t>(s)];
 }
 
-void print_jobs(const fleet::Status& s) {
+void print_jobs(const coordination::Status& s) {
   std::printf("%-28s %10s  %-20s %s\n", "JOB", "NUMBER", "OWNER", "");
-  for (const fleet::Job& j : s.table().jobs()) {
+  for (const coordination::Job& j : s.table().jobs()) {
     bool held = false;
-    for (const fleet::Held& h : s.held()) held = held || (h.job() == j.name() && h.number() == j.number());
+    for (const coordination::Held& h : s.held())
+      held = held || (h.job() == j.name() && h.number() == j.number());
     std::printf("%-28s %10llu  %-20s %s\n", j.name().c_str(), static_cast<unsigned long long>(j.number()),
                 j.owner().empty() ? "-" : j.owner().c_str(),
                 held                  ? "held here, lease proved"
@@ -131,14 +133,14 @@
   }
 }
 
-void print_voters(const fleet::Status& s) {
-  for (const fleet::Voter& v : s.voters())
+void print_voters(const coordination::Status& s) {
+  for (const coordination::Voter& v : s.voters())
     std::printf("voter %llu at %s%s%s\n", static_cast<unsigned long long>(v.id()), v.at().c_str(),
                 v.votes() ? "" : " (being added)", v.at() == s.leader_at() ? " (leads)" : "");
 }
 
-int show(const FleetOptions& options, const std::function<void(const fleet::Status&)>& print) {
-  fleet::Packet p;
+int show(const FleetOptions& options, const std::function<void(const coordination::Status&)>& print) {
+  coordination::Packet p;
   const std::string why = status(options.at, p);
   if (!why.empty()) return diagnose(why);
   if (options.json) {
@@ -157,7 +159,7 @@
 }  // namespace
 
 int fleet_status(const FleetOptions& options) {
-  return show(options, [](const fleet::Status& s) {
+  return show(options, [](const coordination::Status& s) {
     std::printf("router %s%s%s, birth %llu, health %d%s\n", s.name().c_str(), s.site().empty() ? "" : " of ",
                 s.site().c_str(), static_cast<unsigned long long>(s.birth()), s.health(),
                 s.displaced() ? ", DISPLACED by a later process of this name" : "");
@@ -171,14 +173,14 @@
     print_voters(s);
     print_jobs(s);
     std::printf("%-20s %-12s %-22s %-8s\n", "ROUTER", "SITE", "AT", "STANDING");
-    for (const fleet::Word& w : s.routers())
+    for (const coordination::Word& w : s.routers())
       std::printf("%-20s %-12s %-22s %-8s\n", w.name().c_str(), w.site().c_str(), w.at().c_str(),
                   word(w.standing()));
   });
 }
 
 int shared_show(const FleetOptions& options) {
-  return show(options, [](const fleet::Status& s) {
+  return show(options, [](const coordination::Status& s) {
     const auto thousandths = [](std::int64_t n) { return static_cast<double>(n) / 1000.0; };
     const auto seconds = [](std::int64_t us) { return static_cast<double>(us) / 1e6; };
     std::printf("router %s%s%s%s\n", s.name().c_str(), s.site().empty() ? "" : " of ", s.site().c_str(),
@@ -213,7 +215,7 @@
 int fleet_jobs(const FleetOptions& options) { return show(options, print_jobs); }
 
 int fleet_voters(const FleetOptions& options) {
-  fleet::Request r;
+  coordination::Request r;
   if (!options.add.empty()) {
     const std::size_t mark = options.add.find('=');
     config::HostPort at;
@@ -233,7 +235,7 @@
 }
 
 int fleet_move(const FleetOptions& options) {
-  fleet::Request r;
+  coordination::Request r;
   r.mutable_command()->mutable_move()->set_job(options.job);
   r.mutable_command()->mutable_move()->set_to(options.router);
   const std::string why = request(options.at, r);
@@ -245,18 +247,18 @@
   std::string why = operator_file::load(options.file, file);
   if (!why.empty()) return diagnose(why);
   if (file.fleet().directory().empty()) return diagnose(options.file + ": fleet: directory: there is none");
-  std::vector<fleet::Voter> voters;
+  std::vector<coordination::Voter> voters;
   std::uint64_t id = 0;
   for (const auto& v : file.fleet().voters()) {
     if (v.router() == options.router) id = v.id();
-    fleet::Voter& one = voters.emplace_back();
+    coordination::Voter& one = voters.emplace_back();
     one.set_id(v.id());
     one.set_at(v.at());
   }
   if (id == 0) return diagnose(options.file + ": fleet: " + options.router + " is none of the voters");
   if (options.join) voters.clear();
-  why = fleet::Disk::create(file.fleet().directory(),
-                            fleet::Node::first_memory(file.fleet().name(), id, voters));
+  why = coordination::Disk::create(file.fleet().directory(),
+                                   coordination::Node::first_memory(file.fleet().name(), id, voters));
   if (!why.empty()) return diagnose(why);
   std::printf("%s: voter %llu of %s\n", file.fleet().directory().c_str(), static_cast<unsigned long long>(id),
               file.fleet().name().c_str());
@@ -264,7 +266,7 @@
 }
 
 int fleet_audit(const std::vector<std::string>& logs) {
-  fleet::Audit audit;
+  coordination::Audit audit;
   for (const std::string& path : logs) {
     std::ifstream file(path, std::ios::binary);
     if (!file) return diagnose(path + ": cannot be read");
@@ -273,7 +275,7 @@
     audit.read(slash == std::string::npos ? path : path.substr(slash + 1), text);
   }
   std::printf("%-28s %10s  %-20s %14s %9s  %s\n", "JOB", "NUMBER", "LOG", "FROM (ms)", "FOR (s)", "UNTIL");
-  for (const fleet::Audit::Owner& o : audit.owners())
+  for (const coordination::Audit::Owner& o : audit.owners())
     std::printf("%-28s %10llu  %-20s %14lld %9.3f  %s\n", o.job.c_str(),
                 static_cast<unsigned long long>(o.number), o.router.c_str(),
                 static_cast<long long>(o.from_ms), static_cast<double>(o.to_ms - o.from_ms) / 1e3,
--- a/src/commands/fleet_member.cpp
+++ b/src/commands/fleet_member.cpp
@@ -15,9 +15,9 @@
 
 std::string job_of(const std::string& site) { return "list-reader@" + site; }
 
-fleet::Member::Settings settings(const deploy::Fleet& file, const config::Config& config) {
-  fleet::Member::Settings out;
-  fleet::AgentSettings& a = out.agent;
+coordination::Member::Settings settings(const deploy::Fleet& file, const config::Config& config) {
+  coordination::Member::Settings out;
+  coordination::AgentSettings& a = out.agent;
   a.peers.fleet = file.name();
   a.peers.period = micros(file.has_period_s(), file.period_s(), a.peers.period);
   a.peers.timeout = micros(file.has_probe_timeout_s(), file.probe_timeout_s(), a.peers.timeout);
@@ -62,21 +62,22 @@
       shares_(file.has_shared() ? std::make_unique<Shares>(io, clock, file, config, set_.agent.self)
                                 : nullptr),
       alarm_(io),
-      member_((set_.companion = shares_ ? shares_->companion() : nullptr, set_),
-              [this](const fleet::Agent::Word& w) { boost::asio::post(io_, [this, w] { take(w); }); }) {
+      member_(
+          (set_.companion = shares_ ? shares_->companion() : nullptr, set_),
+          [this](const coordination::Agent::Word& w) { boost::asio::post(io_, [this, w] { take(w); }); }) {
   if (std::find(file.list_readers().begin(), file.list_readers().end(), site_) == file.list_readers().end())
     return;
-  fleet::SharedList::Settings set;
+  coordination::SharedList::Settings set;
   set.silence = micros(file.has_list_silence_s(), file.list_silence_s(), set.silence);
   set.spread = set.silence / 2;
-  fleet::SharedList::Ports ports;
+  coordination::SharedList::Ports ports;
   ports.watch = [this](bool on) { watch_.observe(on); };
   ports.feed = [this](std::string_view text) { return watch_.feed(text); };
-  ports.publish = [this](fleet::Effect e) {
+  ports.publish = [this](coordination::Effect e) {
     e.set_job(job_);
     member_.effect(std::move(e), site_);
   };
-  ports.send = [this](fleet::Effect e, const std::string& to) {
+  ports.send = [this](coordination::Effect e, const std::string& to) {
     e.set_job(job_);
     member_.effect(std::move(e), site_, to);
   };
@@ -113,9 +114,9 @@
   member_.leave([] {});
 }
 
-void FleetMember::take(const fleet::Agent::Word& w) {
+void FleetMember::take(const coordination::Agent::Word& w) {
   if (!shared_ || w.job != job_) return;
-  using What = fleet::Agent::Word::What;
+  using What = coordination::Agent::Word::What;
   switch (w.what) {
     case What::starts:
     case What::stops:
--- a/src/commands/fleet_member.h
+++ b/src/commands/fleet_member.h
@@ -1,5 +1,5 @@
 // This router's part in its fleet: wires the member's thread, its jobs and the core together. Who does what
-// is decided by fleet::Agent and fleet::SharedList.
+// is decided by coordination::Agent and coordination::SharedList.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -8,11 +8,11 @@
 #include <optional>
 #include <string>
 
-#include "commands/shares.h"
+#include "commands/shared_state_bridge.h"
 #include "config/config.h"
+#include "coordination/coordination_runtime.h"
+#include "coordination/shared_endpoint_list.h"
 #include "discovery/watch.h"
-#include "fleet/member.h"
-#include "fleet/shared_list.h"
 #include "operator.pb.h"
 
 namespace flintglade::commands {
@@ -33,18 +33,18 @@
   void leave();
 
  private:
-  void take(const fleet::Agent::Word& word);
+  void take(const coordination::Agent::Word& word);
   void arm();
 
   boost::asio::io_context& io_;
   core::Clock& clock_;
   discovery::Watch& watch_;
   const std::string job_, site_;
-  std::optional<fleet::SharedList> shared_;
-  fleet::Member::Settings set_;
+  std::optional<coordination::SharedList> shared_;
+  coordination::Member::Settings set_;
   std::unique_ptr<Shares> shares_;
   boost::asio::steady_timer alarm_;
-  fleet::Member member_;  // last: its thread ends before what it posts to
+  coordination::Member member_;  // last: its thread ends before what it posts to
 };
 
 }  // namespace flintglade::commands
--- a/src/commands/handoff.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "commands/handoff.h"
+#include "commands/hot_restart_coordinator.h"
 
 #include <unistd.h>
 
@@ -11,8 +11,8 @@
 
 namespace flintglade::commands {
 
-using handover::Passage;
-using handover::Stage;
+using hot_restart::Passage;
+using hot_restart::Stage;
 using log::Level;
 
 namespace {
@@ -21,7 +21,7 @@
 }  // namespace
 
 Handoff::Handoff(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker,
-                 http::HttpFront& front, http::HttpSubchannels& replicas, handover::Seats& seats,
+                 http::HttpFront& front, http::HttpSubchannels& replicas, hot_restart::Seats& seats,
                  const config::Config& config)
     : clock_(clock),
       broker_(broker),
@@ -61,10 +61,10 @@
   front_.look();
   const auto others = seats_.others();
   if (others.empty()) return shelf_.clear();
-  if (handover::Seats::moved(events_.data(), bytes, handover::Shelf::kName)) take_state();
+  if (hot_restart::Seats::moved(events_.data(), bytes, hot_restart::Shelf::kName)) take_state();
   // Once for each: the file's own coming wakes us too.
   std::uint64_t newest = 0;
-  for (const handover::Use& o : others) {
+  for (const hot_restart::Use& o : others) {
     if (o.stage == Stage::starting) newest = std::max(newest, o.joined);
   }
   if (newest > left_for_ && broker_.ready()) {
@@ -74,18 +74,18 @@
 }
 
 void Handoff::leave_state() {
-  shelf_.save(handover::write_state(broker_.hand(), origin_, clock_.now()), [](const std::string& why) {
+  shelf_.save(hot_restart::write_state(broker_.hand(), origin_, clock_.now()), [](const std::string& why) {
     if (!why.empty()) log::event(Level::warn, "state_not_left", {{"why", why}});
   });
 }
 
 void Handoff::take_state() {
-  shelf_.load(handover::kMostState, [this](const std::string& bytes) {
+  shelf_.load(hot_restart::kMostState, [this](const std::string& bytes) {
     if (bytes.empty() || broker_.phase() == core::Phase::draining) return;
     core::Broker::Handed state;
     bool same_list = false;
-    const std::string why = handover::read_state(bytes, origin_, clock_.now(), state, same_list);
-    if (why == handover::kOurOwn) return;
+    const std::string why = hot_restart::read_state(bytes, origin_, clock_.now(), state, same_list);
+    if (why == hot_restart::kOurOwn) return;
     if (!why.empty()) return log::event(Level::warn, "state_refused", {{"why", why}});
     log::event(Level::info, "state_taken",
                {{"bytes", bytes.size()},
@@ -98,7 +98,7 @@
 }
 
 bool Handoff::hand_over() {
-  for (const handover::Use& o : seats_.others()) {
+  for (const hot_restart::Use& o : seats_.others()) {
     if (o.stage == Stage::serving) heir_ = o.seat;
   }
   if (!heir_) {
--- a/src/commands/handoff.h
+++ b/src/commands/hot_restart_coordinator.h
@@ -9,13 +9,13 @@
 
 #include "config/config.h"
 #include "core/broker.h"
-#include "handover/passage.h"
-#include "handover/seats.h"
-#include "handover/shelf.h"
-#include "handover/state.h"
-#include "http/front.h"
-#include "http/moves.h"
-#include "http/subchannels.h"
+#include "hot_restart/descriptor_passing.h"
+#include "hot_restart/process_slots.h"
+#include "hot_restart/snapshot.h"
+#include "hot_restart/snapshot_file.h"
+#include "http/replica_client.h"
+#include "http/server.h"
+#include "http/stream_migration.h"
 
 namespace flintglade::commands {
 
@@ -23,7 +23,7 @@
  public:
   // For a process that has a seat.
   Handoff(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker, http::HttpFront& front,
-          http::HttpSubchannels& replicas, handover::Seats& seats, const config::Config& config);
+          http::HttpSubchannels& replicas, hot_restart::Seats& seats, const config::Config& config);
 
   void start();
   // SIGTERM: what is known and the answers that run go to the process that serves from now on. False: there
@@ -43,12 +43,12 @@
   core::Clock& clock_;
   core::Broker& broker_;
   http::HttpFront& front_;
-  handover::Seats& seats_;
+  hot_restart::Seats& seats_;
   const std::string folder_;
-  handover::Origin origin_;
+  hot_restart::Origin origin_;
   http::Moves moves_;
-  handover::Passage passage_;
-  handover::Shelf shelf_;
+  hot_restart::Passage passage_;
+  hot_restart::Shelf shelf_;
   std::uint64_t left_for_ = 0;       // the newest of those that start and have been left what we know
   std::optional<std::size_t> heir_;  // the seat of the process that gets our answers
   boost::asio::steady_timer again_;
--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -7,22 +7,22 @@
 #include "commands/clock.h"
 #include "commands/commands.h"
 #include "config/config.h"
-#include "membership/sources.h"
+#include "endpoint_sources/endpoint_sources.h"
 #include "operator/operator_file.h"
 
 namespace flintglade::commands {
 namespace {
 
-using membership::Sources;
+using endpoint_sources::Sources;
 
 // Answered or failed, each of them.
 bool all_heard(const Sources& sources) {
   const auto all = sources.membership().status(0);
   return std::all_of(all.begin(), all.end(),
-                     [](const membership::SourceStatus& s) { return s.answers + s.failures > 0; });
+                     [](const endpoint_sources::SourceStatus& s) { return s.answers + s.failures > 0; });
 }
 
-std::string ttl_left(const Sources& sources, const std::vector<membership::SourceSpec>& specs,
+std::string ttl_left(const Sources& sources, const std::vector<endpoint_sources::SourceSpec>& specs,
                      const std::string& address, core::Micros now) {
   core::Micros left = -1;
   for (const auto& spec : specs) {
@@ -31,7 +31,7 @@
     for (const dns::Target& target : answer.targets) {
       dns::SrvAnswer one;
       one.targets = {target};
-      for (const auto& named : membership::facts(one).named) {
+      for (const auto& named : endpoint_sources::facts(one).named) {
         if (named.address == address) left = std::max(left, std::min(answer.expires, target.expires) - now);
       }
     }
@@ -52,8 +52,8 @@
   if (platform) error = config::load(config);
   if (!error.empty()) return diagnose(error);
   std::string wrong;
-  std::vector<membership::SourceSpec> specs =
-      membership::sources(file.membership(), config.zones, config.kinds, wrong);
+  std::vector<endpoint_sources::SourceSpec> specs =
+      endpoint_sources::sources(file.membership(), config.zones, config.kinds, wrong);
   const bool list = std::any_of(specs.begin(), specs.end(), [](const auto& s) { return s.list; });
   if (list && !platform)
     return diagnose("resolve: a source is the platform's list, and GW_CONFIG names no file");
@@ -89,7 +89,7 @@
                 : health == policy::Health::draining ? "drains"
                                                      : "gone",
                 v.endpoint.replica.size, v.priority, ttl_left(sources, specs, address, now).c_str(),
-                static_cast<int>(v.clause), membership::to_string(v.clause), said.c_str());
+                static_cast<int>(v.clause), endpoint_sources::to_string(v.clause), said.c_str());
   }
   return all_current ? 0 : 1;
 }
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -11,26 +11,26 @@
 #include <utility>
 #include <vector>
 
-#include "admin/figures.h"
+#include "admin/metrics.h"
 #include "admin/server.h"
 #include "commands/clock.h"
 #include "commands/commands.h"
 #include "commands/fleet_member.h"
-#include "commands/handoff.h"
+#include "commands/hot_restart_coordinator.h"
 #include "config/config.h"
 #include "config/labels.h"
 #include "core/broker.h"
 #include "discovery/watch.h"
-#include "handover/parts.h"
-#include "handover/seats.h"
-#include "http/front.h"
-#include "http/subchannels.h"
+#include "endpoint_sources/endpoint_sources.h"
+#include "hot_restart/limit_partition.h"
+#include "hot_restart/process_slots.h"
+#include "http/replica_client.h"
+#include "http/server.h"
 #include "kserve/credentials.h"
-#include "kserve/front.h"
 #include "kserve/models.h"
-#include "kserve/subchannels.h"
+#include "kserve/replica_client.h"
+#include "kserve/server.h"
 #include "log/log.h"
-#include "membership/sources.h"
 #include "operator/operator_file.h"
 #include "pcap/replay.h"
 #include "tls/certificate_provider.h"
@@ -146,13 +146,13 @@
   std::string error = config::load(config);
   if (error.empty() && !options.operator_file.empty())
     error = operator_file::load(options.operator_file, file);
-  std::vector<membership::SourceSpec> specs;
-  if (error.empty()) specs = membership::sources(file.membership(), config.zones, config.kinds, error);
+  std::vector<endpoint_sources::SourceSpec> specs;
+  if (error.empty()) specs = endpoint_sources::sources(file.membership(), config.zones, config.kinds, error);
   if (!error.empty()) return diagnose(error);
   if (file.has_membership()) {
     // DNS tells no start times, and its weights are sizes.
-    config.module.slots =
-        file.membership().slots() > 0 ? static_cast<int>(file.membership().slots()) : membership::kSlots;
+    config.module.slots = file.membership().slots() > 0 ? static_cast<int>(file.membership().slots())
+                                                        : endpoint_sources::kSlots;
     config.module.weights = policy::WeightSource::nominal;
   }
 
@@ -162,22 +162,23 @@
       kSpareDescriptors +
           (file.has_kserve() ? kGrpcDescriptors + 2 * kserve::front_settings(file.kserve()).limits.connections
                              : 0) +
-          membership::resolver_settings(file.membership().resolver()).outstanding * file.has_membership() +
+          endpoint_sources::resolver_settings(file.membership().resolver()).outstanding *
+              file.has_membership() +
           admin::Server::kDescriptors * !config.admin.host.empty() + kFleetDescriptors * file.has_fleet());
   http::HttpFront* front = nullptr;
   const http::HttpSubchannels* replicas = nullptr;
   const core::Broker* core = nullptr;
   // Processes that share the clients' socket share the router's limits as well.
-  const handover::Part whole{config.sockets, (config.memory_mb << 20) / 4};
-  handover::Seats seats;
+  const hot_restart::Part whole{config.sockets, (config.memory_mb << 20) / 4};
+  hot_restart::Seats seats;
   if (config.accept_fd >= 0) {
     const std::string why = seats.join(config.scratch, config.name);
     if (!why.empty()) log::event(Level::warn, "no_seat", {{"why", why}, {"limits", "as if alone"}});
   }
   const auto use = [&] {
-    handover::Use out{handover::Stage::starting, reserved, 0};
+    hot_restart::Use out{hot_restart::Stage::starting, reserved, 0};
     if (core != nullptr && core->phase() != core::Phase::starting)
-      out.stage = core->ready() ? handover::Stage::serving : handover::Stage::draining;
+      out.stage = core->ready() ? hot_restart::Stage::serving : hot_restart::Stage::draining;
     out.sockets +=
         (front != nullptr ? front->connections() : 0) + (replicas != nullptr ? replicas->connections() : 0);
     if (core != nullptr) out.bodies = core->body_bytes();
@@ -185,9 +186,9 @@
   };
   const auto mine = [&] {
     if (!seats.seated()) return whole;
-    const handover::Use now = use();
+    const hot_restart::Use now = use();
     seats.publish(now);
-    return handover::part(whole, now, seats.others());
+    return hot_restart::part(whole, now, seats.others());
   };
   const auto shared = [&mine, reserved] {
     const std::size_t sockets = mine().sockets;
@@ -206,9 +207,9 @@
   if (!config.module.resume) settings.stall = kLongestGap;
   settings.drain_limit = std::min(settings.drain_limit, longest(config.module) + 400 * core::kMilli);
   settings.body_budget = whole.bodies;
-  std::unique_ptr<membership::Sources> sources;
+  std::unique_ptr<endpoint_sources::Sources> sources;
   if (file.has_membership())
-    sources = std::make_unique<membership::Sources>(io, clock, watch, file.membership(), specs);
+    sources = std::make_unique<endpoint_sources::Sources>(io, clock, watch, file.membership(), specs);
   std::optional<FleetMember> fleet_member;
   if (file.has_fleet()) fleet_member.emplace(io, clock, watch, file.fleet(), config);
   core::ReplicaList& list = sources        ? static_cast<core::ReplicaList&>(*sources)
@@ -370,9 +371,9 @@
     std::string wrong = config::reload(fresh);
     if (wrong.empty() && !options.operator_file.empty())
       wrong = operator_file::load(options.operator_file, fresh_file);
-    std::vector<membership::SourceSpec> fresh_specs;
+    std::vector<endpoint_sources::SourceSpec> fresh_specs;
     if (wrong.empty())
-      fresh_specs = membership::sources(fresh_file.membership(), fresh.zones, fresh.kinds, wrong);
+      fresh_specs = endpoint_sources::sources(fresh_file.membership(), fresh.zones, fresh.kinds, wrong);
     // Whether there is TLS at all takes a start; with what keys does not.
     const bool fresh_front = front_keys && fresh_file.kserve().has_tls();
     const bool fresh_replica = replica_keys && fresh_file.kserve().has_replica_tls();
--- a/src/commands/shares.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -1,4 +1,4 @@
-#include "commands/shares.h"
+#include "commands/shared_state_bridge.h"
 
 #include <algorithm>
 #include <chrono>
@@ -71,13 +71,13 @@
 }  // namespace
 
 Shares::Shares(asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
-               const config::Config& config, const peers::Self& self)
+               const config::Config& config, const membership::Self& self)
     : io_(io),
       clock_(clock),
       config_(config),
       set_(settings(file)),
       snapshot_(file.shared().snapshot()),
-      wallet_(set_.budgets, config.tenants, self.birth, fleet::Member::now()),
+      wallet_(set_.budgets, config.tenants, self.birth, coordination::Member::now()),
       witness_(set_),
       caution_(set_),
       counts_((config.tenants.size() + 1) * std::max<std::size_t>(1, config.classes.size())),
@@ -89,14 +89,14 @@
   // What the member's side has for us, on its thread.
   shared::SharedState::Ports ports;
   ports.unix_time = unix_now;
-  ports.parcel = [this](const fleet::Parcel& p) {
+  ports.parcel = [this](const coordination::Parcel& p) {
     asio::post(io_, [this, p] { wallet_.parcel(wallet_time(clock_.now()), p); });
   };
-  ports.lend = [this](const std::string& who, const fleet::Ask& ask) {
+  ports.lend = [this](const std::string& who, const coordination::Ask& ask) {
     asio::post(io_, [this, who, ask] {
       const auto parcel = wallet_.lend(wallet_time(clock_.now()), who, ask);
       if (!parcel || member_ == nullptr) return;
-      member_->with_agent([this, who, p = *parcel](Micros now, fleet::Agent& agent) {
+      member_->with_agent([this, who, p = *parcel](Micros now, coordination::Agent& agent) {
         shared_state_->lent(now, agent, who, p);
       });
     });
@@ -115,12 +115,12 @@
   const std::string bytes = contents(snapshot_);
   const std::string why = bytes.size() > kLargestSnapshot
                               ? "it is too large"
-                              : shared_state_->restore(fleet::Member::now(), bytes);
+                              : shared_state_->restore(coordination::Member::now(), bytes);
   if (!why.empty())
     log::event(Level::warn, "counts_refused", {{"file", snapshot_}, {"why", why}, {"starts", "without"}});
 }
 
-void Shares::start(fleet::Member& member, core::Broker& core) {
+void Shares::start(coordination::Member& member, core::Broker& core) {
   member_ = &member;
   core_ = &core;
   for (const std::string& team : unknown_)
@@ -152,7 +152,7 @@
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   const std::size_t team = std::min<std::size_t>(rpc.tenant, config_.tenants.size());
   const std::size_t klass = std::min<std::size_t>(rpc.klass, classes - 1);
-  fleet::Count& c = counts_[team * classes + klass];
+  coordination::Count& c = counts_[team * classes + klass];
   if (how == End::refused) return c.set_refused(c.refused() + 1);
   if (how == End::failed) return c.set_failed(c.failed() + 1);
   c.set_served(c.served() + 1);
@@ -167,7 +167,7 @@
   shared::Ledger::Counts out;
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   for (std::size_t i = 0; i < counts_.size(); ++i) {
-    const fleet::Count& c = counts_[i];
+    const coordination::Count& c = counts_[i];
     if (c.served() + c.refused() + c.failed() == 0) continue;
     const std::size_t team = i / classes;
     out[{team < config_.tenants.size() ? config_.tenants[team] : "",
@@ -180,21 +180,21 @@
   auto questions = wallet_.questions(wallet_time(now));
   auto returns = wallet_.returns();
   if (questions.empty() && returns.empty()) return;
-  member_->with_agent(
-      [this, questions = std::move(questions), returns = std::move(returns)](Micros t, fleet::Agent& agent) {
-        for (const auto& q : questions) shared_state_->ask(t, agent, q.ask, q.to_peer);
-        for (const auto& r : returns) shared_state_->give_back(t, agent, r);
-      });
+  member_->with_agent([this, questions = std::move(questions), returns = std::move(returns)](
+                          Micros t, coordination::Agent& agent) {
+    for (const auto& q : questions) shared_state_->ask(t, agent, q.ask, q.to_peer);
+    for (const auto& r : returns) shared_state_->give_back(t, agent, r);
+  });
 }
 
 void Shares::tell(Micros now) {
   const bool save_now = !snapshot_.empty() && now >= next_save_;
   if (save_now) next_save_ = now + kSaveEvery;
   next_tell_ = now + set_.seal;
-  fleet::SharedStatus status;
+  coordination::SharedStatus status;
   wallet_.status(wallet_time(now), status);
   member_->with_agent(
-      [this, counts = counts(), status, avoided = avoided_, save_now](Micros t, fleet::Agent&) {
+      [this, counts = counts(), status, avoided = avoided_, save_now](Micros t, coordination::Agent&) {
         shared_state_->counted(t, counts);
         shared_state_->core_says(status, avoided);
         if (save_now) save(shared_state_->snapshot(t));
@@ -219,7 +219,7 @@
 
 void Shares::look() {
   const Micros now = clock_.now();
-  slept_ = fleet::Member::now() - now;
+  slept_ = coordination::Member::now() - now;
   ask(now);
   if (now >= next_tell_) tell(now);
   if (set_.hearsay) {
@@ -229,7 +229,7 @@
       next_seen_ = now + kSeenAgain;
       had_cases_ = !cases.empty();
       member_->with_agent(
-          [this, cases = std::move(cases)](Micros t, fleet::Agent&) { shared_state_->saw(t, cases); });
+          [this, cases = std::move(cases)](Micros t, coordination::Agent&) { shared_state_->saw(t, cases); });
     }
   }
   alarm_.expires_after(kLook);
--- a/src/commands/shares.h
+++ b/src/commands/shared_state_bridge.h
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "config/config.h"
+#include "coordination/coordination_runtime.h"
 #include "core/broker.h"
-#include "fleet/member.h"
 #include "operator.pb.h"
+#include "shared/quota_holder.h"
 #include "shared/shared_state.h"
-#include "shared/wallet.h"
 
 namespace flintglade::commands {
 
@@ -23,10 +23,10 @@
  public:
   // self: as the member tells the others. member, core and log are borrowed and outlive it.
   Shares(boost::asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
-         const config::Config& config, const peers::Self& self);
-  fleet::Companion* companion() { return shared_state_.get(); }
+         const config::Config& config, const membership::Self& self);
+  coordination::Companion* companion() { return shared_state_.get(); }
   void restore();  // what a process before this one has left; before the member starts
-  void start(fleet::Member& member, core::Broker& core);
+  void start(coordination::Member& member, core::Broker& core);
   void leave();  // what is left of parts of stocks goes back, and the counts are told once more
 
   Word arrived(Micros now, const core::RpcRequest& rpc) override;
@@ -56,7 +56,7 @@
   shared::Wallet wallet_;
   shared::Witness witness_;
   shared::Caution caution_;
-  std::vector<fleet::Count> counts_;  // by team and class; the last team is none
+  std::vector<coordination::Count> counts_;  // by team and class; the last team is none
   std::vector<std::string> unknown_;
   boost::asio::steady_timer alarm_;
   Micros next_tell_ = 0, next_seen_ = 0, next_save_ = 0;
@@ -64,7 +64,7 @@
   bool had_cases_ = false;
   std::set<core::ReplicaId> avoided_;  // by hearsay
   core::Broker* core_ = nullptr;
-  fleet::Member* member_ = nullptr;
+  coordination::Member* member_ = nullptr;
   std::unique_ptr<shared::SharedState> shared_state_;
   boost::asio::thread_pool disk_{1};
 };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -8,7 +8,7 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "boot_info.h"
+#include "simulator_adapter/boot_info.h"
 
 namespace flintglade::config {
 namespace {
--- a/src/fleet/audit.cpp
+++ b/src/coordination/audit.cpp
@@ -1,4 +1,4 @@
-#include "fleet/audit.h"
+#include "coordination/audit.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -6,7 +6,7 @@
 #include <ctime>
 #include <nlohmann/json.hpp>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 
 std::int64_t read_time(const std::string& text) {
@@ -130,4 +130,4 @@
   return out;
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/audit.h
+++ b/src/coordination/audit.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 struct LogLine {
   std::int64_t ms = -1;  // Unix time
@@ -47,4 +47,4 @@
   std::uint64_t unread_ = 0, refused_ = 0;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/agent.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -1,8 +1,8 @@
-#include "fleet/agent.h"
+#include "coordination/coordination_protocol.h"
 
 #include <algorithm>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 
 constexpr std::size_t kMostAsked = 256, kMostWords = 4096;
@@ -81,7 +81,7 @@
 
 // What follows from the new state of all parts, in one order.
 void Agent::settle(Micros now) {
-  for (const peers::Peer& p : swim_.changed()) {
+  for (const membership::Peer& p : swim_.changed()) {
     static constexpr const char* kNames[] = {"peer_alive", "peer_suspect", "peer_dead", "peer_left"};
     event(kNames[p.standing],
           {{"peer", p.name}, {"at", p.at}, {"site", p.site}, {"incarnation", std::to_string(p.incarnation)}});
@@ -239,8 +239,8 @@
     const Job* job = node_->jobs().find(request.command().move().job());
     if (job == nullptr) return reply(false, "no such job", {});
     const auto living = swim_.living();
-    const bool there = std::any_of(living.begin(), living.end(), [&](const peers::Peer& p) {
-      return p.name == request.command().move().to() && p.standing == fleet::ALIVE;
+    const bool there = std::any_of(living.begin(), living.end(), [&](const membership::Peer& p) {
+      return p.name == request.command().move().to() && p.standing == coordination::ALIVE;
     });
     if (!there) return reply(false, "no such router is alive", {});
     if (job->owner() == request.command().move().to()) return reply(true, "", {});
@@ -289,8 +289,8 @@
   if (!at.empty()) out_.push_back({at, p.SerializeAsString()});
 }
 
-std::vector<peers::Datagram> Agent::take() {
-  std::vector<peers::Datagram> out = swim_.take();
+std::vector<membership::Datagram> Agent::take() {
+  std::vector<membership::Datagram> out = swim_.take();
   if (out.empty()) return std::exchange(out_, {});
   std::move(out_.begin(), out_.end(), std::back_inserter(out));
   out_.clear();
@@ -385,7 +385,7 @@
     return true;
   }
   for (const auto& [name, peer] : swim_.others()) {
-    if (peer.standing == fleet::DEAD || peer.standing == fleet::LEFT) continue;
+    if (peer.standing == coordination::DEAD || peer.standing == coordination::LEFT) continue;
     if (!site.empty() && peer.site != site) continue;
     Packet p = swim_.packet(name);
     *p.mutable_effect() = effect;
@@ -394,7 +394,7 @@
   return true;
 }
 
-const peers::Peer* Agent::owner(const std::string& job) const {
+const membership::Peer* Agent::owner(const std::string& job) const {
   for (const Job& j : table().jobs()) {
     if (j.name() != job || j.owner().empty()) continue;
     const auto it = swim_.others().find(j.owner());
@@ -404,7 +404,7 @@
 }
 
 void Agent::want(Micros, const std::string& job, std::uint32_t rev) {
-  const peers::Peer* to = owner(job);
+  const membership::Peer* to = owner(job);
   if (to == nullptr) return;
   Packet p = swim_.packet(to->name);
   p.mutable_want()->set_job(job);
@@ -467,12 +467,12 @@
   *s.mutable_table() = table();
   for (const Voter& v : voters_) *s.add_voters() = v;
   for (const Held& h : lease_holder_.held(now)) *s.add_held() = h;
-  *s.add_routers() = peers::word_of(swim_.self());
-  for (const auto& [name, p] : swim_.others()) *s.add_routers() = peers::word_of(p);
+  *s.add_routers() = membership::word_of(swim_.self());
+  for (const auto& [name, p] : swim_.others()) *s.add_routers() = membership::word_of(p);
   s.set_health(swim_.health());
   s.set_record_age_ms(heard_voter_ < 0 ? UINT64_MAX
                                        : static_cast<std::uint64_t>((now - heard_voter_) / 1000));
-  const peers::Counters& c = swim_.counters();
+  const membership::Counters& c = swim_.counters();
   auto& counters = *s.mutable_counters();
   counters["peers_sent"] = c.sent;
   counters["peers_received"] = c.received;
@@ -494,4 +494,4 @@
   return s;
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/agent.h
+++ b/src/coordination/coordination_protocol.h
@@ -1,7 +1,7 @@
-// A router's part in its fleet: who is there (peers::Swim), the voter if it is one (Node), what the leader
-// decides (LeaseManager), its own jobs (LeaseHolder) and what it takes from other owners (Fence), and the
-// datagrams between them. Pure: time and datagrams are handed in, what is to be sent is taken out. One clock
-// for all times, which also runs while the machine sleeps.
+// A router's part in its fleet: who is there (membership::Swim), the voter if it is one (Node), what the
+// leader decides (LeaseManager), its own jobs (LeaseHolder) and what it takes from other owners (Fence), and
+// the datagrams between them. Pure: time and datagrams are handed in, what is to be sent is taken out. One
+// clock for all times, which also runs while the machine sleeps.
 #pragma once
 
 #include <deque>
@@ -14,13 +14,13 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/fence.h"
-#include "fleet/lease_holder.h"
-#include "fleet/lease_manager.h"
-#include "fleet/node.h"
-#include "peers/swim.h"
+#include "coordination/fencing_token.h"
+#include "coordination/lease_holder.h"
+#include "coordination/lease_manager.h"
+#include "coordination/raft_node.h"
+#include "membership/swim.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 struct VoterAt {
   std::string router;
@@ -29,8 +29,8 @@
 };
 
 struct AgentSettings {
-  peers::Settings peers;
-  peers::Self self;
+  membership::Settings peers;
+  membership::Self self;
   LeaseTimes lease;
   NodeTimes node;
   std::vector<VoterAt> voters;  // by the file; the record may have changed them since
@@ -87,17 +87,17 @@
   // Asks the owner of a job what came after.
   void want(Micros now, const std::string& job, std::uint32_t rev);
 
-  std::vector<peers::Datagram> take();
+  std::vector<membership::Datagram> take();
   std::vector<Event> events() { return std::exchange(events_, {}); }
   std::vector<Word> words() { return std::exchange(words_, {}); }
 
-  const peers::Swim& peers() const { return swim_; }
+  const membership::Swim& peers() const { return swim_; }
   const Node* node() const { return node_.get(); }
   const Table& table() const { return votes() ? node_->jobs().table() : table_; }
   const Fence& fence() const { return fence_; }
   bool proved(Micros now, const std::string& job) const { return lease_holder_.proved(now, job); }
   // Who owns it by the record; null: nobody, or a router that this one does not know.
-  const peers::Peer* owner(const std::string& job) const;
+  const membership::Peer* owner(const std::string& job) const;
   bool displaced() const { return displaced_; }
   Status status(Micros now) const;
   // Beside what this class says of itself.
@@ -124,7 +124,7 @@
 
   AgentSettings set_;
   std::mt19937_64 random_;
-  peers::Swim swim_;
+  membership::Swim swim_;
   std::unique_ptr<Node> node_;
   LeaseManager lease_manager_;
   LeaseHolder lease_holder_;
@@ -136,7 +136,7 @@
   std::size_t voter_turn_ = 0;
   std::uint64_t numbers_ = 0, sequence_ = 0;
   std::map<std::uint64_t, Asked> asked_;
-  std::vector<peers::Datagram> out_;
+  std::vector<membership::Datagram> out_;
   std::vector<Event> events_;
   std::vector<Word> words_;
   bool led_ = false, handing_ = false, displaced_ = false, halted_told_ = false, had_leader_ = false;
@@ -154,4 +154,4 @@
   virtual void status(Micros now, const Agent& agent, Status& out) const = 0;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/member.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -1,4 +1,4 @@
-#include "fleet/member.h"
+#include "coordination/coordination_runtime.h"
 
 #include <google/protobuf/stubs/logging.h>
 #include <time.h>
@@ -9,7 +9,7 @@
 
 #include "log/log.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 namespace asio = boost::asio;
 using asio::ip::udp;
@@ -163,7 +163,7 @@
     }
     if (set_.companion != nullptr && now() >= set_.companion->next()) set_.companion->tick(now(), *agent_);
   }
-  for (const peers::Datagram& d : agent_->take()) {
+  for (const membership::Datagram& d : agent_->take()) {
     udp::endpoint to;
     error_code ignored;
     if (parse(d.to, to)) socket_.send_to(asio::buffer(d.bytes), to, 0, ignored);
@@ -226,4 +226,4 @@
   });
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/member.h
+++ b/src/coordination/coordination_runtime.h
@@ -10,9 +10,9 @@
 #include <thread>
 
 #include "config/config.h"
-#include "fleet/agent.h"
+#include "coordination/coordination_protocol.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 class Member {
  public:
@@ -65,4 +65,4 @@
   std::thread thread_;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/fence.h
+++ b/src/coordination/fencing_token.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 class Fence {
  public:
@@ -36,4 +36,4 @@
   std::uint64_t refused_ = 0;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/lease_holder.cpp
+++ b/src/coordination/lease_holder.cpp
@@ -1,9 +1,9 @@
-#include "fleet/lease_holder.h"
+#include "coordination/lease_holder.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 constexpr Micros kReleaseAgain = 100 * core::kMilli;
 }
@@ -111,4 +111,4 @@
   return at;
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/lease_holder.h
+++ b/src/coordination/lease_holder.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/lease_manager.h"
+#include "coordination/lease_manager.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 class LeaseHolder {
  public:
@@ -55,4 +55,4 @@
   bool leaving_ = false;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/lease_manager.cpp
+++ b/src/coordination/lease_manager.cpp
@@ -1,10 +1,10 @@
-#include "fleet/lease_manager.h"
+#include "coordination/lease_manager.h"
 
 #include <algorithm>
 
-#include "numeric.h"
+#include "policy/statistics.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 // A grant that has not been committed by then is asked for anew.
 constexpr Micros kGrantAgain = 500 * core::kMilli;
@@ -19,12 +19,13 @@
 }
 }  // namespace
 
-const peers::Peer* LeaseManager::choose(const Wanted& job, const std::vector<peers::Peer>& living,
-                                        const std::set<std::string>& but_not) {
-  const peers::Peer* best = nullptr;
+const membership::Peer* LeaseManager::choose(const Wanted& job, const std::vector<membership::Peer>& living,
+                                             const std::set<std::string>& but_not) {
+  const membership::Peer* best = nullptr;
   std::uint64_t best_rank = 0;
-  for (const peers::Peer& p : living) {
-    if (p.standing != fleet::ALIVE || (!job.site.empty() && p.site != job.site) || but_not.count(p.name) > 0)
+  for (const membership::Peer& p : living) {
+    if (p.standing != coordination::ALIVE || (!job.site.empty() && p.site != job.site) ||
+        but_not.count(p.name) > 0)
       continue;
     const std::uint64_t rank = hash(job.name + "\n" + p.name);
     if (best == nullptr || rank > best_rank) {
@@ -53,7 +54,7 @@
 }
 
 std::vector<Command> LeaseManager::decide(Micros now, const Jobs& jobs,
-                                          const std::vector<peers::Peer>& living) {
+                                          const std::vector<membership::Peer>& living) {
   std::vector<Command> out;
   next_ = core::kNever;
   if (!leading_) return out;
@@ -76,10 +77,10 @@
     // owner.
     const auto asked = asked_.find(w.name);
     if (asked != asked_.end() && now < asked->second + kGrantAgain) continue;
-    const peers::Peer* to = nullptr;
+    const membership::Peer* to = nullptr;
     if (job != nullptr && !job->wanted().empty()) {
-      for (const peers::Peer& p : living) {
-        if (p.name == job->wanted() && p.standing == fleet::ALIVE) to = &p;
+      for (const membership::Peer& p : living) {
+        if (p.name == job->wanted() && p.standing == coordination::ALIVE) to = &p;
       }
     }
     // One that let it lie although it seems alive comes last: who is dead is known later than that.
@@ -102,4 +103,4 @@
   return out;
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
+#include "coordination/lease_state_machine.h"
 #include "core/ports.h"
-#include "fleet/table.h"
-#include "peers/swim.h"
+#include "membership/swim.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 using core::Micros;
 
@@ -44,13 +44,13 @@
   // one at once.
   void granted(Micros now, const std::string& job);
   // What to put into the log now. living: all routers that are alive, or only suspected.
-  std::vector<Command> decide(Micros now, const Jobs& jobs, const std::vector<peers::Peer>& living);
+  std::vector<Command> decide(Micros now, const Jobs& jobs, const std::vector<membership::Peer>& living);
   Micros next() const { return next_; }  // when to ask again, if nothing else happens
   const std::vector<Wanted>& wanted() const { return wanted_; }
 
   // The same owner at every leader, and few moves when routers come and go. Empty: nobody can.
-  static const peers::Peer* choose(const Wanted& job, const std::vector<peers::Peer>& living,
-                                   const std::set<std::string>& but_not = {});
+  static const membership::Peer* choose(const Wanted& job, const std::vector<membership::Peer>& living,
+                                        const std::set<std::string>& but_not = {});
 
  private:
   LeaseTimes times_;
@@ -63,4 +63,4 @@
   Micros next_ = core::kNever;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/table.cpp
+++ b/src/coordination/lease_state_machine.cpp
@@ -1,8 +1,8 @@
-#include "fleet/table.h"
+#include "coordination/lease_state_machine.h"
 
 #include <algorithm>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 const Job* Jobs::find(std::string_view name) const {
   for (const Job& j : table_.jobs()) {
@@ -109,4 +109,4 @@
   return true;
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/table.h
+++ b/src/coordination/lease_state_machine.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet.pb.h"
+#include "coordination.pb.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 inline constexpr int kMostJobs = 256, kMostStocks = 256;
 
@@ -38,4 +38,4 @@
   Table table_;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/journal.cpp
+++ b/src/coordination/raft_log.cpp
@@ -1,10 +1,10 @@
-#include "fleet/journal.h"
+#include "coordination/raft_log.h"
 
 #include <zlib.h>
 
 #include <algorithm>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 
 constexpr std::size_t kPrefix = 8;
@@ -114,4 +114,4 @@
   return "";
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/journal.h
+++ b/src/coordination/raft_log.h
@@ -15,9 +15,9 @@
 #include <string>
 #include <string_view>
 
-#include "fleet.pb.h"
+#include "coordination.pb.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 inline constexpr std::uint32_t kJournalVersion = 1;
 inline constexpr std::size_t kMostJournal = 64u << 20;  // a larger file is refused
@@ -43,4 +43,4 @@
 // be cut off. A file of no bytes gives a memory without a head.
 std::string read_journal(std::string_view bytes, Memory& out, std::size_t& torn);
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/node.cpp
+++ b/src/coordination/raft_node.cpp
@@ -1,10 +1,10 @@
-#include "fleet/node.h"
+#include "coordination/raft_node.h"
 
 #include <algorithm>
 #include <cstring>
 #include <utility>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 
 constexpr unsigned kTickMs = 20;
@@ -525,4 +525,4 @@
   return out;
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/node.h
+++ b/src/coordination/raft_node.h
@@ -17,11 +17,11 @@
 #include <string>
 #include <vector>
 
+#include "coordination/lease_state_machine.h"
+#include "coordination/raft_storage.h"
 #include "core/ports.h"
-#include "fleet/disk.h"
-#include "fleet/table.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 using core::Micros;
 
@@ -109,4 +109,4 @@
   bool started_ = false, closed_ = false;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/disk.cpp
+++ b/src/coordination/raft_storage.cpp
@@ -1,4 +1,4 @@
-#include "fleet/disk.h"
+#include "coordination/raft_storage.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -8,7 +8,7 @@
 #include <cerrno>
 #include <cstring>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 
 constexpr const char* kFile = "/record.log";
@@ -101,4 +101,4 @@
   return "";
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/disk.h
+++ b/src/coordination/raft_storage.h
@@ -5,9 +5,9 @@
 
 #include <string>
 
-#include "fleet/journal.h"
+#include "coordination/raft_log.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 // What a voter's log is written to. Empty: it is on stable storage.
 class Storage {
@@ -37,4 +37,4 @@
   int lock_ = -1, file_ = -1;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/shared_list.cpp
+++ b/src/coordination/shared_endpoint_list.cpp
@@ -1,9 +1,9 @@
-#include "fleet/shared_list.h"
+#include "coordination/shared_endpoint_list.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 namespace {
 constexpr std::size_t kMostLines = 256;
 constexpr std::size_t kMostInEffect = 48u
@@ -143,4 +143,4 @@
   return behind_since_ < 0 ? silent : std::min(silent, behind_since_ + set_.silence + wait_);
 }
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/fleet/shared_list.h
+++ b/src/coordination/shared_endpoint_list.h
@@ -18,10 +18,10 @@
 #include <string_view>
 #include <vector>
 
+#include "coordination.pb.h"
 #include "core/ports.h"
-#include "fleet.pb.h"
 
-namespace flintglade::fleet {
+namespace flintglade::coordination {
 
 using core::Micros;
 
@@ -75,4 +75,4 @@
   Micros heard_ = 0, behind_since_ = -1, wait_ = 0, next_beat_ = core::kNever, asked_ = 0;
 };
 
-}  // namespace flintglade::fleet
+}  // namespace flintglade::coordination
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -18,7 +18,7 @@
 #include "core/counters.h"
 #include "core/ports.h"
 #include "flintglade/policy/balancer.h"
-#include "learned.h"
+#include "policy/learned_state.h"
 
 namespace flintglade::core {
 
--- a/src/membership/membership.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -1,4 +1,4 @@
-#include "membership/membership.h"
+#include "endpoint_sources/endpoint_merger.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 #include "config/labels.h"
 
-namespace flintglade::membership {
+namespace flintglade::endpoint_sources {
 
 using core::kNever;
 using core::kSecond;
@@ -552,4 +552,4 @@
   return out;
 }
 
-}  // namespace flintglade::membership
+}  // namespace flintglade::endpoint_sources
--- a/src/membership/membership.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -10,7 +10,7 @@
 
 #include "core/ports.h"
 
-namespace flintglade::membership {
+namespace flintglade::endpoint_sources {
 
 using core::Micros;
 using policy::Health;
@@ -170,4 +170,4 @@
 // A replica's id is made of its address alone, so that it is the same whichever source named it first.
 core::ReplicaId replica_id(const std::string& address);
 
-}  // namespace flintglade::membership
+}  // namespace flintglade::endpoint_sources
--- a/src/membership/sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -1,4 +1,4 @@
-#include "membership/sources.h"
+#include "endpoint_sources/endpoint_sources.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 
 #include "log/log.h"
 
-namespace flintglade::membership {
+namespace flintglade::endpoint_sources {
 
 using boost::system::error_code;
 using log::Level;
@@ -241,4 +241,4 @@
   return out;
 }
 
-}  // namespace flintglade::membership
+}  // namespace flintglade::endpoint_sources
--- a/src/membership/sources.h
+++ b/src/endpoint_sources/endpoint_sources.h
@@ -11,10 +11,10 @@
 
 #include "discovery/watch.h"
 #include "dns/client.h"
-#include "membership/membership.h"
-#include "membership/settings.h"
+#include "endpoint_sources/endpoint_merger.h"
+#include "endpoint_sources/source_settings.h"
 
-namespace flintglade::membership {
+namespace flintglade::endpoint_sources {
 
 class Sources final : public core::ReplicaList, private dns::ResolverListener {
  public:
@@ -62,4 +62,4 @@
   std::map<std::string, std::string> logged_states_;
 };
 
-}  // namespace flintglade::membership
+}  // namespace flintglade::endpoint_sources
--- a/src/membership/settings.cpp
+++ b/src/endpoint_sources/source_settings.cpp
@@ -1,11 +1,11 @@
-#include "membership/settings.h"
+#include "endpoint_sources/source_settings.h"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 
 #include "config/labels.h"
 
-namespace flintglade::membership {
+namespace flintglade::endpoint_sources {
 namespace {
 
 Micros span(double seconds) { return static_cast<Micros>(seconds * 1e6); }
@@ -102,4 +102,4 @@
   return ec ? text : config::host_port(address.to_string(), at.port);
 }
 
-}  // namespace flintglade::membership
+}  // namespace flintglade::endpoint_sources
--- a/src/membership/settings.h
+++ b/src/endpoint_sources/source_settings.h
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "dns/resolver.h"
-#include "membership/membership.h"
+#include "endpoint_sources/endpoint_merger.h"
 #include "operator.pb.h"
 
-namespace flintglade::membership {
+namespace flintglade::endpoint_sources {
 
 inline constexpr int kSlots = 4096;
 
@@ -23,4 +23,4 @@
 // host:port as every source writes it; as it stands where it is no numeric address.
 std::string canonical_address(const std::string& address);
 
-}  // namespace flintglade::membership
+}  // namespace flintglade::endpoint_sources
--- a/src/handover/passage.cpp
+++ b/src/hot_restart/descriptor_passing.cpp
@@ -1,4 +1,4 @@
-#include "handover/passage.h"
+#include "hot_restart/descriptor_passing.h"
 
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -7,7 +7,7 @@
 #include <cerrno>
 #include <cstring>
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 namespace {
 
 constexpr std::size_t kMostBytes = 96u << 10;  // what a socket's usual buffer takes, with room to spare
@@ -115,4 +115,4 @@
   return Sent::yes;
 }
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/passage.h
+++ b/src/hot_restart/descriptor_passing.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 
 class Passage {
  public:
@@ -46,4 +46,4 @@
   std::vector<char> bytes_;
 };
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/parts.cpp
+++ b/src/hot_restart/limit_partition.cpp
@@ -1,8 +1,8 @@
-#include "handover/parts.h"
+#include "hot_restart/limit_partition.h"
 
 #include <algorithm>
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 namespace {
 
 std::size_t left(std::size_t whole, std::size_t taken) { return whole - std::min(whole, taken); }
@@ -27,4 +27,4 @@
   return out;
 }
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/parts.h
+++ b/src/hot_restart/limit_partition.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <span>
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 
 enum class Stage : std::uint32_t { starting = 0, serving = 1, draining = 2 };
 
@@ -35,4 +35,4 @@
 // new one finds room when it serves; one that drains takes up no more than it has, and no less.
 Part part(const Part& whole, const Use& self, std::span<const Use> others);
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/seats.cpp
+++ b/src/hot_restart/process_slots.cpp
@@ -1,4 +1,4 @@
-#include "handover/seats.h"
+#include "hot_restart/process_slots.h"
 
 #include <fcntl.h>
 #include <sys/inotify.h>
@@ -14,7 +14,7 @@
 
 #include "config/labels.h"
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 namespace {
 
 constexpr std::uint32_t kMagic = 0x73746673, kVersion = 1;
@@ -157,4 +157,4 @@
   return out;
 }
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/seats.h
+++ b/src/hot_restart/process_slots.h
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "handover/parts.h"
+#include "hot_restart/limit_partition.h"
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 
 class Seats {
  public:
@@ -50,4 +50,4 @@
   Page* page_ = nullptr;
 };
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/state.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -1,4 +1,4 @@
-#include "handover/state.h"
+#include "hot_restart/snapshot.h"
 
 #include <zlib.h>
 
@@ -6,9 +6,9 @@
 #include <cmath>
 #include <cstring>
 
-#include "handover.pb.h"
+#include "hot_restart.pb.h"
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 namespace {
 
 using core::Micros;
@@ -273,4 +273,4 @@
   return read(*state.mutable_learned(), out.learned) ? "" : "it holds numbers that cannot be";
 }
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/state.h
+++ b/src/hot_restart/snapshot.h
@@ -2,7 +2,7 @@
 // time handed in.
 //
 // The form: 4 bytes "fgst", then, each 4 bytes, lowest first, the version of the form, the length of what
-// follows and its CRC-32; then a handover::State message. Whatever is wrong with it, the reader says so in
+// follows and its CRC-32; then a hot_restart::State message. Whatever is wrong with it, the reader says so in
 // one line and starts without: a torn or changed file, one of a newer version, of another router, of another
 // machine or boot, too old.
 #pragma once
@@ -13,7 +13,7 @@
 
 #include "core/broker.h"
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 
 struct Origin {  // of the process that writes, or reads
   std::string router;
@@ -38,4 +38,4 @@
 std::string read_state(std::string_view bytes, const Origin& reader, core::Micros now,
                        core::Broker::Handed& out, bool& same_list);
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/shelf.cpp
+++ b/src/hot_restart/snapshot_file.cpp
@@ -1,4 +1,4 @@
-#include "handover/shelf.h"
+#include "hot_restart/snapshot_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <utility>
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 namespace {
 
 std::string write_file(const std::string& draft, const std::string& path, const std::string& bytes) {
@@ -63,4 +63,4 @@
   boost::asio::post(thread_, [path = path_] { ::unlink(path.c_str()); });
 }
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/handover/shelf.h
+++ b/src/hot_restart/snapshot_file.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-namespace flintglade::handover {
+namespace flintglade::hot_restart {
 
 class Shelf {
  public:
@@ -30,4 +30,4 @@
   boost::asio::thread_pool thread_{1};
 };
 
-}  // namespace flintglade::handover
+}  // namespace flintglade::hot_restart
--- a/src/http/subchannels.cpp
+++ b/src/http/replica_client.cpp
@@ -1,4 +1,4 @@
-#include "http/subchannels.h"
+#include "http/replica_client.h"
 
 #include <sys/socket.h>
 
@@ -175,7 +175,7 @@
   }
 
   // What the parser knows can be told in a few words once chunks of the answer's body come.
-  int describe(handover::Stream& to) {
+  int describe(hot_restart::Stream& to) {
     if (!began_ || !written_ || paused_ || !parser_->chunked() || parser_->is_done() || promised_ == 0)
       return -1;
     to.set_replica_unread(boost::beast::buffers_to_string(buffer_.data()));
@@ -191,7 +191,7 @@
   }
   // The parser is brought to where the other process's stood: in a chunk of which so much is left, or behind
   // one.
-  void move_in(core::CallId id, int descriptor, const handover::Stream& from) {
+  void move_in(core::CallId id, int descriptor, const hot_restart::Stream& from) {
     assign(id, nullptr, core::kNever / 2);
     error_code ec;
     socket_.assign(protocol_of(descriptor), descriptor, ec);
@@ -385,7 +385,7 @@
   connection->close();
 }
 
-int HttpSubchannels::describe(core::CallId id, handover::Stream& to) const {
+int HttpSubchannels::describe(core::CallId id, hot_restart::Stream& to) const {
   const auto it = calls_.find(key(id));
   return it == calls_.end() ? -1 : it->second->describe(to);
 }
@@ -393,7 +393,7 @@
   if (const auto node = calls_.extract(key(id))) node.mapped()->moved_out();
 }
 void HttpSubchannels::move_in(core::CallId id, core::ReplicaId replica, int descriptor,
-                              const handover::Stream& from) {
+                              const hot_restart::Stream& from) {
   const auto connection = calls_[key(id)] = std::make_shared<Connection>(*this, replica);
   connection->move_in(id, descriptor, from);
 }
--- a/src/http/subchannels.h
+++ b/src/http/replica_client.h
@@ -11,8 +11,8 @@
 
 #include "core/broker.h"
 #include "core/ports.h"
-#include "handover.pb.h"
-#include "http/due.h"
+#include "hot_restart.pb.h"
+#include "http/idle_timer.h"
 
 namespace flintglade::http {
 
@@ -44,9 +44,9 @@
   // An answer in its middle that moves to or from another process of this router, with its connection.
   // Gives the descriptor, which stays here until moved_out(), and writes what else there is to know; -1: not
   // at this moment.
-  int describe(core::CallId id, handover::Stream& to) const;
+  int describe(core::CallId id, hot_restart::Stream& to) const;
   void moved_out(core::CallId id);
-  void move_in(core::CallId id, core::ReplicaId replica, int descriptor, const handover::Stream& from);
+  void move_in(core::CallId id, core::ReplicaId replica, int descriptor, const hot_restart::Stream& from);
 
  private:
   class Connection;
--- a/src/http/front.cpp
+++ b/src/http/server.cpp
@@ -1,4 +1,4 @@
-#include "http/front.h"
+#include "http/server.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -184,7 +184,7 @@
   }
 
   // All that was passed on is written, and the client reads on.
-  int describe(handover::Stream& to) {
+  int describe(hot_restart::Stream& to) {
     if (rpc_ == 0 || !began_ || writing_ || !out_.empty() || held_up_ || refused_) return -1;
     to.set_client_unread(boost::beast::buffers_to_string(buffer_.data()));
     to.set_client_close(client_closes_ || said_close_);
@@ -197,7 +197,7 @@
     std::exchange(owner_, nullptr)->connections_.erase(self);
     leave(socket_);
   }
-  void move_in(const handover::Stream& from, core::RpcId rpc) {
+  void move_in(const hot_restart::Stream& from, core::RpcId rpc) {
     rpc_ = rpc;
     if (rpc == 0) return drop();
     looked_ = asked_ = began_ = true;
@@ -527,8 +527,8 @@
 }
 bool HttpFront::over_budget() const { return connections_.size() > set_.room(); }
 
-// Clients may ask once and hold their connection for good, or never ask: http/crowd.h says who goes, and
-// when.
+// Clients may ask once and hold their connection for good, or never ask: http/connection_eviction.h says who
+// goes, and when.
 void HttpFront::make_room(const Crowd& crowd) {
   const Micros now = clock_.now();
   if (!crowd.filling(connections_.size())) return;
@@ -555,11 +555,11 @@
   accepting_ = was_accepting;
 }
 
-int HttpFront::describe(core::Channel& client, handover::Stream& to) {
+int HttpFront::describe(core::Channel& client, hot_restart::Stream& to) {
   return static_cast<Connection&>(client).describe(to);
 }
 void HttpFront::moved_out(core::Channel& client) { static_cast<Connection&>(client).moved_out(); }
-void HttpFront::move_in(int descriptor, const handover::Stream& from,
+void HttpFront::move_in(int descriptor, const hot_restart::Stream& from,
                         const std::function<core::RpcId(std::shared_ptr<core::Channel>)>& go_on) {
   error_code ec;
   tcp::socket socket(io_);
--- a/src/http/front.h
+++ b/src/http/server.h
@@ -11,9 +11,9 @@
 #include "config/labels.h"
 #include "core/broker.h"
 #include "core/ports.h"
-#include "handover.pb.h"
-#include "http/crowd.h"
-#include "http/due.h"
+#include "hot_restart.pb.h"
+#include "http/connection_eviction.h"
+#include "http/idle_timer.h"
 
 namespace flintglade::http {
 
@@ -40,10 +40,10 @@
   // A client whose answer is in its middle and moves to or from another process of this router.
   // Gives the descriptor, which stays here until moved_out(), and writes what else there is to know; -1: not
   // at this moment.
-  static int describe(core::Channel& client, handover::Stream& to);
+  static int describe(core::Channel& client, hot_restart::Stream& to);
   static void moved_out(core::Channel& client);
   // go_on: puts the answer into the core, and gives its id; 0: it cannot go on, and the client sees the end.
-  void move_in(int descriptor, const handover::Stream& from,
+  void move_in(int descriptor, const hot_restart::Stream& from,
                const std::function<core::RpcId(std::shared_ptr<core::Channel>)>& go_on);
   std::size_t half_read() const;  // clients in the middle of a request
   void refuse_half_read();        // a drain takes no more: they are told so, and may come again elsewhere
--- a/src/http/moves.cpp
+++ b/src/http/stream_migration.cpp
@@ -1,4 +1,4 @@
-#include "http/moves.h"
+#include "http/stream_migration.h"
 
 #include <unistd.h>
 
@@ -6,7 +6,7 @@
 
 void Moves::out(const Offer& offer) {
   for (const core::Broker::Running& r : broker_.running(core::Wire::http)) {
-    handover::Stream stream;
+    hot_restart::Stream stream;
     const Descriptors fds{HttpFront::describe(*r.channel, stream), replicas_.describe(r.call, stream)};
     if (fds[0] < 0 || fds[1] < 0) continue;
     stream.set_trace_id(r.request->trace_id);
@@ -24,7 +24,7 @@
 
 void Moves::in(std::string_view bytes, Descriptors descriptors) {
   const auto [client, replica] = descriptors;
-  handover::Stream stream;
+  hot_restart::Stream stream;
   if (!stream.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || stream.trace_id().empty()) {
     ::close(client);
     ::close(replica);
--- a/src/http/moves.h
+++ b/src/http/stream_migration.h
@@ -7,8 +7,8 @@
 #include <string_view>
 
 #include "core/broker.h"
-#include "http/front.h"
-#include "http/subchannels.h"
+#include "http/replica_client.h"
+#include "http/server.h"
 
 namespace flintglade::http {
 
--- a/src/kserve/subchannels.cpp
+++ b/src/kserve/replica_client.cpp
@@ -1,4 +1,4 @@
-#include "kserve/subchannels.h"
+#include "kserve/replica_client.h"
 
 #include <grpc/compression.h>
 #include <grpcpp/create_channel.h>
--- a/src/kserve/front.cpp
+++ b/src/kserve/server.cpp
@@ -1,4 +1,4 @@
-#include "kserve/front.h"
+#include "kserve/server.h"
 
 #include <grpcpp/ext/proto_server_reflection_plugin.h>
 #include <grpcpp/generic/async_generic_service.h>
--- a/src/peers/swim.cpp
+++ b/src/membership/swim.cpp
@@ -1,10 +1,10 @@
-#include "peers/swim.h"
+#include "membership/swim.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace flintglade::peers {
+namespace flintglade::membership {
 namespace {
 
 // What no honest router says: longer names, births a day ahead, incarnations that nobody can have reached.
@@ -20,7 +20,7 @@
 int worse(Standing s) { return static_cast<int>(s); }
 
 // Whether a word says something newer than what is known.
-bool newer(const fleet::Word& w, const Peer& than) {
+bool newer(const coordination::Word& w, const Peer& than) {
   if (w.birth() != than.birth) return w.birth() > than.birth;
   // Who has left or is dead in this life comes back by a new incarnation or a new life only.
   if (w.incarnation() != than.incarnation) return w.incarnation() > than.incarnation;
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-fleet::Word word_of(const Peer& p) {
-  fleet::Word w;
+coordination::Word word_of(const Peer& p) {
+  coordination::Word w;
   w.set_name(p.name);
   w.set_site(p.site);
   w.set_at(p.at);
@@ -45,8 +45,9 @@
     : set_(std::move(settings)), self_(std::move(self)), random_(seed) {}
 
 Peer Swim::self() const {
-  return {self_.name, self_.site, self_.at, self_.birth, incarnation_, left_ ? fleet::LEFT : fleet::ALIVE,
-          0,          kVersion};
+  return {self_.name,  self_.site,   self_.at,
+          self_.birth, incarnation_, left_ ? coordination::LEFT : coordination::ALIVE,
+          0,           kVersion};
 }
 
 std::vector<Peer> Swim::living() const {
@@ -57,7 +58,7 @@
       out.push_back(self());
       own = true;
     }
-    if (p.standing == fleet::ALIVE || p.standing == fleet::SUSPECT) out.push_back(p);
+    if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) out.push_back(p);
   }
   if (!own) out.push_back(self());
   return out;
@@ -104,7 +105,7 @@
       ++it;
       continue;
     }
-    fleet::Packet p = packet("");
+    coordination::Packet p = packet("");
     p.mutable_nack()->set_number(it->second.number);
     send(it->second.to, std::move(p));
     it = relays_.erase(it);
@@ -114,13 +115,13 @@
     const auto it = peers_.find(probe_.name);
     std::vector<const Peer*> helpers;
     for (const auto& [name, p] : peers_) {
-      if (name != probe_.name && p.standing == fleet::ALIVE) helpers.push_back(&p);
+      if (name != probe_.name && p.standing == coordination::ALIVE) helpers.push_back(&p);
     }
     std::shuffle(helpers.begin(), helpers.end(), random_);
     if (helpers.size() > set_.helpers) helpers.resize(set_.helpers);
     for (const Peer* h : helpers) {
       if (it == peers_.end()) break;
-      fleet::Packet p = packet(h->name);
+      coordination::Packet p = packet(h->name);
       p.mutable_ping_for()->set_number(probe_.number);
       p.mutable_ping_for()->set_name(it->second.name);
       p.mutable_ping_for()->set_at(it->second.at);
@@ -136,11 +137,11 @@
       continue;
     }
     it = suspected_.erase(it);
-    if (p == peers_.end() || p->second.standing != fleet::SUSPECT) continue;
-    p->second.standing = fleet::DEAD;
+    if (p == peers_.end() || p->second.standing != coordination::SUSPECT) continue;
+    p->second.standing = coordination::DEAD;
     p->second.since = now;
     changed_.insert(p->first);
-    fleet::Word w = word_of(p->second);
+    coordination::Word w = word_of(p->second);
     w.set_by(self_.name);
     spread(w);
   }
@@ -158,14 +159,14 @@
     std::vector<const Peer*> there, gone;
     for (auto it = peers_.begin(); it != peers_.end();) {
       Peer& p = it->second;
-      const bool dead = p.standing == fleet::DEAD || p.standing == fleet::LEFT;
+      const bool dead = p.standing == coordination::DEAD || p.standing == coordination::LEFT;
       if (dead && now - p.since > set_.forget) {
         rumors_.erase(it->first);
         it = peers_.erase(it);
         continue;
       }
       if (!dead) there.push_back(&p);
-      if (p.standing == fleet::DEAD) gone.push_back(&p);
+      if (p.standing == coordination::DEAD) gone.push_back(&p);
       ++it;
     }
     const auto any = [&](const auto& of) {
@@ -203,11 +204,12 @@
     const std::string name = turns_.back();
     turns_.pop_back();
     const auto it = peers_.find(name);
-    if (it == peers_.end() || it->second.standing == fleet::DEAD || it->second.standing == fleet::LEFT)
+    if (it == peers_.end() || it->second.standing == coordination::DEAD ||
+        it->second.standing == coordination::LEFT)
       continue;
     probe_ = {name, ++numbers_, now, now + slowed(set_.timeout), now + slowed(set_.period) - 1, false, 0, 0};
     ++counters_.probes;
-    fleet::Packet p = packet(name);
+    coordination::Packet p = packet(name);
     p.mutable_ping()->set_number(probe_.number);
     send(it->second.at, std::move(p), name);
     return;
@@ -225,7 +227,7 @@
   } else if (done.helpers == 0) {
     well(+1);
   }
-  if (it != peers_.end() && it->second.standing == fleet::ALIVE) {
+  if (it != peers_.end() && it->second.standing == coordination::ALIVE) {
     ++counters_.suspected;
     suspect(now, it->second, self_.name);
   }
@@ -234,12 +236,12 @@
 void Swim::well(int by) { health_ = std::clamp(health_ + by, 0, kWorstHealth); }
 
 void Swim::suspect(Micros now, Peer& peer, const std::string& by) {
-  peer.standing = fleet::SUSPECT;
+  peer.standing = coordination::SUSPECT;
   peer.since = now;
   changed_.insert(peer.name);
   const double least = set_.suspicion * log_size() * static_cast<double>(set_.period);
   suspected_[peer.name] = {by, {by}, now + slowed(static_cast<Micros>(least * set_.suspicion_most))};
-  fleet::Word w = word_of(peer);
+  coordination::Word w = word_of(peer);
   w.set_by(by);
   spread(w);
 }
@@ -249,7 +251,7 @@
 void Swim::receive(Micros now, const std::string& from, std::string_view bytes) {
   if (left_ || displaced_) return;
   ++counters_.received;
-  fleet::Packet p;
+  coordination::Packet p;
   if (!p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
     ++counters_.unreadable;
     return;
@@ -263,13 +265,13 @@
     ++counters_.not_for_us;
     return;
   }
-  for (const fleet::Word& w : p.words()) take(now, w);
+  for (const coordination::Word& w : p.words()) take(now, w);
   if (p.from() == self_.name) {
-    if (p.birth() > self_.birth && p.what_case() == fleet::Packet::kAck &&
+    if (p.birth() > self_.birth && p.what_case() == coordination::Packet::kAck &&
         p.ack().number() == rival_.number) {
       displaced_ = true;
-    } else if (p.what_case() == fleet::Packet::kPing) {  // an earlier process of this name asks
-      fleet::Packet answer = packet(p.from());
+    } else if (p.what_case() == coordination::Packet::kPing) {  // an earlier process of this name asks
+      coordination::Packet answer = packet(p.from());
       answer.mutable_ack()->set_number(p.ping().number());
       send(from, std::move(answer));
     }
@@ -277,16 +279,16 @@
   }
   heard(p.from(), p.birth());
   switch (p.what_case()) {
-    case fleet::Packet::kPing: {
-      fleet::Packet answer = packet(p.from());
+    case coordination::Packet::kPing: {
+      coordination::Packet answer = packet(p.from());
       answer.mutable_ack()->set_number(p.ping().number());
       send(from, std::move(answer), p.from());
       break;
     }
-    case fleet::Packet::kAck: {
+    case coordination::Packet::kAck: {
       const auto relay = relays_.find(p.ack().number());
       if (relay != relays_.end()) {
-        fleet::Packet on = packet("");
+        coordination::Packet on = packet("");
         on.mutable_ack()->set_number(relay->second.number);
         send(relay->second.to, std::move(on));
         relays_.erase(relay);
@@ -295,18 +297,18 @@
       }
       break;
     }
-    case fleet::Packet::kPingFor: {
+    case coordination::Packet::kPingFor: {
       if (relays_.size() >= kMostRelays) break;
-      fleet::Packet ping = packet(p.ping_for().name());
+      coordination::Packet ping = packet(p.ping_for().name());
       ping.mutable_ping()->set_number(++numbers_);
       relays_[numbers_] = {from, p.ping_for().number(), now + set_.timeout};
       send(p.ping_for().at(), std::move(ping), p.ping_for().name());
       break;
     }
-    case fleet::Packet::kNack:
+    case coordination::Packet::kNack:
       if (!probe_.name.empty() && p.nack().number() == probe_.number) ++probe_.nacks;
       break;
-    case fleet::Packet::kSync:
+    case coordination::Packet::kSync:
       if (p.sync().answer() && now >= next_answer_) {
         next_answer_ = now + kAnswerApart;
         send_all(from, p.from(), false);
@@ -322,17 +324,17 @@
 void Swim::heard(const std::string& name, std::uint64_t birth) {
   const auto it = peers_.find(name);
   if (it == peers_.end() || it->second.birth != birth) return;
-  if (it->second.standing == fleet::DEAD || it->second.standing == fleet::SUSPECT)
+  if (it->second.standing == coordination::DEAD || it->second.standing == coordination::SUSPECT)
     spread(word_of(it->second));
 }
 
-bool Swim::sane(const fleet::Word& w) const {
+bool Swim::sane(const coordination::Word& w) const {
   return !w.name().empty() && w.name().size() <= kLongestName && w.site().size() <= kLongestName &&
          w.at().size() <= kLongestName && w.at().find(':') != std::string::npos && w.birth() < kLatestBirth &&
-         w.incarnation() < kMostIncarnation && fleet::Standing_IsValid(w.standing());
+         w.incarnation() < kMostIncarnation && coordination::Standing_IsValid(w.standing());
 }
 
-void Swim::take(Micros now, const fleet::Word& word) {
+void Swim::take(Micros now, const coordination::Word& word) {
   if (!sane(word)) {
     ++counters_.absurd;
     return;
@@ -341,7 +343,7 @@
   const auto it = peers_.find(word.name());
   if (it == peers_.end()) {
     // One that nobody here has known need not be told dead.
-    if (word.standing() == fleet::DEAD || word.standing() == fleet::LEFT) return;
+    if (word.standing() == coordination::DEAD || word.standing() == coordination::LEFT) return;
     if (peers_.size() >= set_.most_peers) {
       ++counters_.too_many;
       return;
@@ -353,9 +355,9 @@
   if (!newer(word, peer)) {
     // A further witness of a suspicion shortens it.
     const auto known = suspected_.find(peer.name);
-    if (word.standing() != fleet::SUSPECT || peer.standing != fleet::SUSPECT || known == suspected_.end() ||
-        word.birth() != peer.birth || word.incarnation() != peer.incarnation || word.by().empty() ||
-        !known->second.witnesses.insert(word.by()).second)
+    if (word.standing() != coordination::SUSPECT || peer.standing != coordination::SUSPECT ||
+        known == suspected_.end() || word.birth() != peer.birth || word.incarnation() != peer.incarnation ||
+        word.by().empty() || !known->second.witnesses.insert(word.by()).second)
       return;
     const double least = set_.suspicion * log_size() * static_cast<double>(set_.period),
                  most = least * set_.suspicion_most;
@@ -369,7 +371,7 @@
   set(now, peer, word);
 }
 
-void Swim::set(Micros now, Peer& peer, const fleet::Word& word) {
+void Swim::set(Micros now, Peer& peer, const coordination::Word& word) {
   const Peer before = peer;
   peer = {word.name(),        word.site(),     word.at(),    word.birth(),
           word.incarnation(), before.standing, before.since, word.version()};
@@ -380,12 +382,13 @@
   if (before.at != peer.at) changed_.insert(peer.name);
   suspected_.erase(peer.name);
   peer.standing = word.standing();
-  if (word.standing() == fleet::SUSPECT) return suspect(now, peer, word.by().empty() ? "?" : word.by());
+  if (word.standing() == coordination::SUSPECT)
+    return suspect(now, peer, word.by().empty() ? "?" : word.by());
   spread(word);
 }
 
 // What others say of this router.
-void Swim::take_own(Micros now, const fleet::Word& word) {
+void Swim::take_own(Micros now, const coordination::Word& word) {
   if (word.birth() > self_.birth) {
     // Another life of our name. At our own address nobody else can live: it was our own, begun under a clock
     // that ran ahead. Elsewhere it is a process that began later, and the name is its.
@@ -394,17 +397,17 @@
       incarnation_ = 1;
       spread(word_of(self()));
     } else if (rival_.birth != word.birth() &&
-               (word.standing() == fleet::ALIVE || word.standing() == fleet::SUSPECT)) {
+               (word.standing() == coordination::ALIVE || word.standing() == coordination::SUSPECT)) {
       // It is asked whether it lives: it may be our own last life, at another address.
       rival_ = {word.birth(), ++numbers_, now + 3 * slowed(set_.period)};
-      fleet::Packet p = packet(self_.name);
+      coordination::Packet p = packet(self_.name);
       p.mutable_ping()->set_number(rival_.number);
       send(word.at(), std::move(p));
     }
     return;
   }
   if (word.birth() < self_.birth || left_) return;
-  if (word.standing() != fleet::ALIVE && word.incarnation() >= incarnation_) {
+  if (word.standing() != coordination::ALIVE && word.incarnation() >= incarnation_) {
     incarnation_ = word.incarnation() + 1;
     ++counters_.refuted;
     well(+1);
@@ -414,8 +417,8 @@
 
 // ---- what goes
 
-fleet::Packet Swim::packet(const std::string& to_name) const {
-  fleet::Packet p;
+coordination::Packet Swim::packet(const std::string& to_name) const {
+  coordination::Packet p;
   p.set_fleet(set_.fleet);
   p.set_version(kVersion);
   p.set_from(self_.name);
@@ -424,10 +427,10 @@
   return p;
 }
 
-void Swim::spread(const fleet::Word& word) { rumors_[word.name()] = {word, 0}; }
+void Swim::spread(const coordination::Word& word) { rumors_[word.name()] = {word, 0}; }
 
 // The words passed on least go first; one on the receiver itself before all others, so that it can refute.
-void Swim::add_words(fleet::Packet& p, const std::string& about) {
+void Swim::add_words(coordination::Packet& p, const std::string& about) {
   const int most = static_cast<int>(std::ceil(set_.retransmit * log_size()));
   std::size_t room = set_.most_bytes - std::min(set_.most_bytes, p.ByteSizeLong() + 8);
   const auto add = [&](Rumor& r) {
@@ -439,7 +442,7 @@
     return true;
   };
   if (const auto it = peers_.find(about);
-      it != peers_.end() && it->second.standing != fleet::ALIVE && rumors_.count(about) == 0) {
+      it != peers_.end() && it->second.standing != coordination::ALIVE && rumors_.count(about) == 0) {
     Rumor once{word_of(it->second), 0};
     add(once);
   }
@@ -453,7 +456,7 @@
   }
 }
 
-void Swim::send(const std::string& at, fleet::Packet&& p, const std::string& about) {
+void Swim::send(const std::string& at, coordination::Packet&& p, const std::string& about) {
   if (p.words_size() == 0) add_words(p, about);
   Datagram d{at, p.SerializeAsString()};
   ++counters_.sent;
@@ -463,7 +466,7 @@
 
 // All that is known, in as many datagrams as it takes.
 void Swim::send_all(const std::string& at, const std::string& name, bool answer) {
-  fleet::Packet p = packet(name);
+  coordination::Packet p = packet(name);
   p.mutable_sync()->set_answer(answer);
   *p.add_words() = word_of(self());
   for (const auto& [other, peer] : peers_) {
@@ -472,9 +475,9 @@
       p = packet(name);
       p.mutable_sync();
     }
-    fleet::Word w = word_of(peer);
+    coordination::Word w = word_of(peer);
     // What only this router suspects is its own to settle.
-    if (peer.standing == fleet::SUSPECT) {
+    if (peer.standing == coordination::SUSPECT) {
       const auto known = suspected_.find(other);
       if (known != suspected_.end()) w.set_by(known->second.by);
     }
@@ -486,15 +489,15 @@
 void Swim::leave(Micros) {
   if (left_ || displaced_) return;
   left_ = true;
-  fleet::Word w = word_of(self());
+  coordination::Word w = word_of(self());
   std::vector<const Peer*> to;
   for (const auto& [name, p] : peers_) {
-    if (p.standing == fleet::ALIVE || p.standing == fleet::SUSPECT) to.push_back(&p);
+    if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) to.push_back(&p);
   }
   std::shuffle(to.begin(), to.end(), random_);
   if (to.size() > 2 * set_.helpers) to.resize(2 * set_.helpers);
   for (const Peer* p : to) {
-    fleet::Packet bye = packet(p->name);
+    coordination::Packet bye = packet(p->name);
     bye.mutable_sync();
     *bye.add_words() = w;
     send(p->at, std::move(bye));
@@ -511,4 +514,4 @@
   return out;
 }
 
-}  // namespace flintglade::peers
+}  // namespace flintglade::membership
--- a/src/peers/swim.h
+++ b/src/membership/swim.h
@@ -16,13 +16,13 @@
 #include <string_view>
 #include <vector>
 
+#include "coordination.pb.h"
 #include "core/ports.h"
-#include "fleet.pb.h"
 
-namespace flintglade::peers {
+namespace flintglade::membership {
 
+using coordination::Standing;
 using core::Micros;
-using fleet::Standing;
 
 inline constexpr std::uint32_t kVersion = 1;
 
@@ -49,13 +49,13 @@
 struct Peer {
   std::string name, site, at;
   std::uint64_t birth = 0, incarnation = 0;
-  Standing standing = fleet::ALIVE;
+  Standing standing = coordination::ALIVE;
   Micros since = 0;  // of this standing
   std::uint32_t version = 0;
   bool operator==(const Peer&) const = default;
 };
 
-fleet::Word word_of(const Peer& p);  // what is said of it
+coordination::Word word_of(const Peer& p);  // what is said of it
 
 struct Datagram {
   std::string to, bytes;
@@ -79,8 +79,9 @@
   // Says good-bye to some others, who pass it on. Nothing is sent or answered from then on.
   void leave(Micros now);
 
-  fleet::Packet packet(const std::string& to_name) const;  // addressed, of this fleet, with nothing in it
-  std::vector<Datagram> take();                            // to be sent
+  coordination::Packet packet(
+      const std::string& to_name) const;  // addressed, of this fleet, with nothing in it
+  std::vector<Datagram> take();           // to be sent
   std::vector<Peer> changed();  // of others: whose standing, birth or address is another since the last call
 
   // Another living process has this router's name and a later birth: this one takes no part any more.
@@ -99,7 +100,7 @@
     Micros ends = 0;  // of the suspicion
   };
   struct Rumor {
-    fleet::Word word;
+    coordination::Word word;
     int times = 0;
   };
   struct Probe {
@@ -119,15 +120,15 @@
     Micros nack_at = 0;
   };
 
-  void send(const std::string& at, fleet::Packet&& p, const std::string& about = "");
-  void add_words(fleet::Packet& p, const std::string& about);
+  void send(const std::string& at, coordination::Packet&& p, const std::string& about = "");
+  void add_words(coordination::Packet& p, const std::string& about);
   void send_all(const std::string& at, const std::string& name, bool answer);
-  void take(Micros now, const fleet::Word& word);
-  void take_own(Micros now, const fleet::Word& word);
-  bool sane(const fleet::Word& word) const;
-  void set(Micros now, Peer& peer, const fleet::Word& word);
+  void take(Micros now, const coordination::Word& word);
+  void take_own(Micros now, const coordination::Word& word);
+  bool sane(const coordination::Word& word) const;
+  void set(Micros now, Peer& peer, const coordination::Word& word);
   void suspect(Micros now, Peer& peer, const std::string& by);
-  void spread(const fleet::Word& word);
+  void spread(const coordination::Word& word);
   void probe(Micros now);
   void end_probe(Micros now, bool answered);
   void heard(const std::string& name, std::uint64_t birth);
@@ -155,4 +156,4 @@
   Counters counters_;
 };
 
-}  // namespace flintglade::peers
+}  // namespace flintglade::membership
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -8,7 +8,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "learned.h"
+#include "policy/learned_state.h"
 #include "policy/request.h"
 
 namespace flintglade::policy {
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -14,12 +14,12 @@
 #include <unordered_map>
 #include <utility>
 
-#include "bounds.h"
-#include "learned.h"
 #include "policy/admission.h"
+#include "policy/learned_state.h"
 #include "policy/replica.h"
 #include "policy/request.h"
 #include "policy/retry_rules.h"
+#include "policy/settings_validation.h"
 #include "policy/slot_table.h"
 
 namespace flintglade::policy {
--- a/src/learned.h
+++ b/src/policy/learned_state.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-#include "numeric.h"
+#include "policy/statistics.h"
 
 namespace flintglade::policy {
 
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "flintglade/policy/balancer.h"
-#include "learned.h"
+#include "policy/learned_state.h"
 
 namespace flintglade::policy {
 
--- a/src/bounds.cpp
+++ b/src/policy/settings_validation.cpp
@@ -1,8 +1,8 @@
-#include "bounds.h"
+#include "policy/settings_validation.h"
 
 #include <algorithm>
 
-#include "numeric.h"
+#include "policy/statistics.h"
 
 namespace flintglade::policy {
 namespace {
--- a/src/policy/slot_table.cpp
+++ b/src/policy/slot_table.cpp
@@ -1,6 +1,6 @@
 #include "policy/slot_table.h"
 
-#include "numeric.h"
+#include "policy/statistics.h"
 
 namespace flintglade::policy {
 
--- a/src/shared/hearsay.cpp
+++ b/src/shared/health_gossip.cpp
@@ -1,4 +1,4 @@
-#include "shared/hearsay.h"
+#include "shared/health_gossip.h"
 
 #include <algorithm>
 
@@ -36,12 +36,12 @@
   if (known_.size() >= kMostKnown) known_.clear();
 }
 
-std::vector<fleet::Case> Witness::cases(Micros now) const {
-  std::vector<fleet::Case> out;
+std::vector<coordination::Case> Witness::cases(Micros now) const {
+  std::vector<coordination::Case> out;
   for (const auto& [replica, k] : known_) {
     const bool bad = k.failed >= kBadFrom;
     if (now - k.at > set_.keep || (!bad && (!k.was_bad || k.failed > 0))) continue;
-    fleet::Case& c = out.emplace_back();
+    coordination::Case& c = out.emplace_back();
     c.set_replica(replica);
     c.set_bad(bad);
     c.set_count(bad ? k.failed : k.served);
@@ -59,15 +59,15 @@
   return it->second.served_at;
 }
 
-std::vector<Opinion> weigh(Micros now, const Settings& settings, const Heard<fleet::Seen>& heard,
+std::vector<Opinion> weigh(Micros now, const Settings& settings, const Heard<coordination::Seen>& heard,
                            const std::string& but_not) {
-  std::map<std::string, const Heard<fleet::Seen>::Held*> last;  // by name: one router is one witness
+  std::map<std::string, const Heard<coordination::Seen>::Held*> last;  // by name: one router is one witness
   for (const auto& [life, h] : heard.all()) last[life.first] = &h;
   std::map<core::ReplicaId, Opinion> out;
   std::map<core::ReplicaId, std::set<std::string>> sites;
   for (const auto& [name, h] : last) {
     if (name == but_not) continue;
-    for (const fleet::Case& c : h->entry.cases()) {
+    for (const coordination::Case& c : h->entry.cases()) {
       const Micros age = now - h->sealed + c.age_us();
       if (age < 0 || age >= settings.keep) continue;
       Opinion& o = out.try_emplace(c.replica(), Opinion{c.replica(), 0, 0, 0, settings.keep}).first->second;
--- a/src/shared/hearsay.h
+++ b/src/shared/health_gossip.h
@@ -15,9 +15,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet.pb.h"
+#include "coordination.pb.h"
 #include "flintglade/policy/balancer.h"
-#include "shared/ledger.h"
+#include "shared/replicated_counter.h"
 #include "shared/settings.h"
 
 namespace flintglade::shared {
@@ -28,7 +28,7 @@
   void call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome);
   void first_event(Micros now, core::ReplicaId replica);  // it serves
   // What to tell: replicas that fail now, and those that have lately begun to serve again.
-  std::vector<fleet::Case> cases(Micros now) const;
+  std::vector<coordination::Case> cases(Micros now) const;
   // True once after something to tell has changed.
   bool changed() { return std::exchange(changed_, false); }
   // When it last served us; kNever's opposite if never.
@@ -52,7 +52,7 @@
   Micros age = 0;                              // of the newest bad word
 };
 // All that was heard and still counts; of the words of one router, the last life's.
-std::vector<Opinion> weigh(Micros now, const Settings& settings, const Heard<fleet::Seen>& heard,
+std::vector<Opinion> weigh(Micros now, const Settings& settings, const Heard<coordination::Seen>& heard,
                            const std::string& but_not);
 
 class Caution {
--- a/src/shared/bank.cpp
+++ b/src/shared/quota_allocator.cpp
@@ -1,4 +1,4 @@
-#include "shared/bank.h"
+#include "shared/quota_allocator.h"
 
 #include <cmath>
 
@@ -50,8 +50,8 @@
   return -1.0;  // there is enough for all
 }
 
-std::optional<fleet::Parcel> Bank::asked(Micros now, const std::string& who, std::uint64_t birth,
-                                         const fleet::Ask& ask) {
+std::optional<coordination::Parcel> Bank::asked(Micros now, const std::string& who, std::uint64_t birth,
+                                                const coordination::Ask& ask) {
   ++counters_.asks;
   const auto it = std::find_if(accounts_.begin(), accounts_.end(),
                                [&](const Account& a) { return a.budget.name == ask.budget(); });
@@ -95,7 +95,7 @@
   const double spare = a.pool - static_cast<double>(a.budget.bank_pool()) / 2;
   if (even >= 0) most = std::min(most, std::max(h.due, spare));
   h.due_at = now;
-  fleet::Parcel p;
+  coordination::Parcel p;
   p.set_ask(ask.number());
   p.set_budget(ask.budget());
   p.set_bank(number_);
@@ -119,7 +119,7 @@
   return p;
 }
 
-bool Bank::returned(Micros now, const std::string& who, const fleet::Return& back) {
+bool Bank::returned(Micros now, const std::string& who, const coordination::Return& back) {
   for (Account& a : accounts_) {
     if (a.budget.name != back.budget() || back.bank() != number_ || !open()) continue;
     // A part that nobody has spoken of for long counts as spent.
@@ -137,8 +137,8 @@
   return false;
 }
 
-std::vector<fleet::Draw> Bank::draws(Micros now, Micros unix_time) {
-  std::vector<fleet::Draw> out;
+std::vector<coordination::Draw> Bank::draws(Micros now, Micros unix_time) {
+  std::vector<coordination::Draw> out;
   if (!open()) return out;
   for (Account& a : accounts_) {
     if (!a.budget.stock()) continue;
@@ -167,7 +167,7 @@
       continue;
     }
     a.drawing_again = now + kDrawAgain;
-    fleet::Draw d;
+    coordination::Draw d;
     d.set_job(kBankJob);
     d.set_number(number_);
     d.set_serial(a.drawing);
@@ -180,10 +180,10 @@
   return out;
 }
 
-void Bank::record(const fleet::Table& table) {
+void Bank::record(const coordination::Table& table) {
   for (Account& a : accounts_) {
     if (a.drawing == 0) continue;
-    for (const fleet::Stock& s : table.stocks()) {
+    for (const coordination::Stock& s : table.stocks()) {
       if (s.name() != a.budget.name) continue;
       if (s.window() > a.window) {
         // Somebody's clock has opened a later window: until ours comes there, nothing is to be had.
--- a/src/shared/wallet.cpp
+++ b/src/shared/quota_holder.cpp
@@ -1,4 +1,4 @@
-#include "shared/wallet.h"
+#include "shared/quota_holder.h"
 
 #include <cmath>
 #include <utility>
@@ -41,7 +41,7 @@
 
 void Wallet::back(const Budget& budget, const Part& part) {
   if (!budget.stock() || part.bank == 0 || part.amount <= 0 || returns_.size() >= kMostReturns) return;
-  fleet::Return r;
+  coordination::Return r;
   r.set_budget(budget.name);
   r.set_bank(part.bank);
   r.set_serial(part.serial);
@@ -145,7 +145,7 @@
   return out;
 }
 
-void Wallet::parcel(Micros now, const fleet::Parcel& p) {
+void Wallet::parcel(Micros now, const coordination::Parcel& p) {
   for (Account& a : accounts_) {
     if (a.budget.name != p.budget()) continue;
     // Whatever the sender says: no more than the whole, for no longer than its time.
@@ -179,13 +179,14 @@
 }
 
 // Half of what is left beyond this router's own need, out of the part that runs longest.
-std::optional<fleet::Parcel> Wallet::lend(Micros now, const std::string&, const fleet::Ask& ask) {
+std::optional<coordination::Parcel> Wallet::lend(Micros now, const std::string&,
+                                                 const coordination::Ask& ask) {
   for (Account& a : accounts_) {
     if (a.budget.name != ask.budget() || ask.want() <= 0 || ask.want() > kMostAmount) continue;
     age(now, a);
     if (std::find(a.lent_for.begin(), a.lent_for.end(), ask.number()) != a.lent_for.end())
       return std::nullopt;
-    fleet::Parcel p;
+    coordination::Parcel p;
     p.set_ask(ask.number());
     p.set_budget(ask.budget());
     p.set_again_us(kComeBack);
@@ -207,7 +208,7 @@
   return std::nullopt;
 }
 
-std::vector<fleet::Return> Wallet::returns() { return std::exchange(returns_, {}); }
+std::vector<coordination::Return> Wallet::returns() { return std::exchange(returns_, {}); }
 
 void Wallet::give_back_all() {
   leaving_ = true;
@@ -231,7 +232,7 @@
   return sum;
 }
 
-void Wallet::status(Micros now, fleet::SharedStatus& out) const {
+void Wallet::status(Micros now, coordination::SharedStatus& out) const {
   for (const Account& a : accounts_) {
     auto& b = *out.add_budgets();
     b.set_name(a.budget.name);
--- a/src/shared/wallet.h
+++ b/src/shared/quota_holder.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet.pb.h"
+#include "coordination.pb.h"
 #include "shared/settings.h"
 
 namespace flintglade::shared {
@@ -26,7 +26,7 @@
     Micros again = 0;  // refused: when to come back
   };
   struct Question {
-    fleet::Ask ask;
+    coordination::Ask ask;
     bool to_peer = false;  // the bank does not answer
   };
 
@@ -37,14 +37,14 @@
   Spent spend(Micros now, std::uint32_t team, Amount tokens);
 
   std::vector<Question> questions(Micros now);  // to be sent now
-  std::vector<fleet::Return> returns();         // likewise: parts of stocks that are over, or came too late
-  void parcel(Micros now, const fleet::Parcel& p);
+  std::vector<coordination::Return> returns();  // likewise: parts of stocks that are over, or came too late
+  void parcel(Micros now, const coordination::Parcel& p);
   // For another router, out of what this one does not need for now.
-  std::optional<fleet::Parcel> lend(Micros now, const std::string& who, const fleet::Ask& ask);
+  std::optional<coordination::Parcel> lend(Micros now, const std::string& who, const coordination::Ask& ask);
   void give_back_all();  // at the end of this router
 
   Micros next(Micros now) const;  // when to look for questions and returns again
-  void status(Micros now, fleet::SharedStatus& out) const;
+  void status(Micros now, coordination::SharedStatus& out) const;
   // Held and own together, and spent since the start: for whoever adds up.
   Amount held(Micros now, std::size_t budget) const;
   Amount spent(std::size_t budget) const { return accounts_[budget].spent; }
@@ -65,7 +65,7 @@
     double demand = 0;  // asked of this router, a second, forgotten over a second
     Micros demand_at = 0, asked_for = 0;
     std::uint64_t asking = 0;  // the number of the ask that is out; 0: none
-    fleet::Ask ask;
+    coordination::Ask ask;
     Micros ask_first = 0, ask_sent = 0, not_before = 0;
     bool to_peer = false;
     int unanswered = 0;
@@ -83,7 +83,7 @@
 
   std::vector<Account> accounts_;
   std::vector<std::vector<std::size_t>> of_team_;
-  std::vector<fleet::Return> returns_;
+  std::vector<coordination::Return> returns_;
   std::uint64_t numbers_;
   bool leaving_ = false;
 };
--- a/src/shared/ledger.cpp
+++ b/src/shared/replicated_counter.cpp
@@ -1,4 +1,4 @@
-#include "shared/ledger.h"
+#include "shared/replicated_counter.h"
 
 namespace flintglade::shared {
 namespace {
@@ -9,18 +9,18 @@
     5 * core::kSecond;  // a row that has not changed is sealed anew, so that it ages no more
 
 // Whether this row of a later life has taken in that one, as far as some version of it.
-const fleet::Mark* folded(const fleet::Row& later, std::uint64_t birth) {
-  for (const fleet::Mark& m : later.folded()) {
+const coordination::Mark* folded(const coordination::Row& later, std::uint64_t birth) {
+  for (const coordination::Mark& m : later.folded()) {
     if (m.birth() == birth) return &m;
   }
   return nullptr;
 }
-bool took_in(const fleet::Row& later, std::uint64_t birth) {
+bool took_in(const coordination::Row& later, std::uint64_t birth) {
   return folded(later, birth) != nullptr || (later.folded_size() > 0 && birth < later.folded(0).birth());
 }
 }  // namespace
 
-void add(fleet::Count& to, const fleet::Count& more) {
+void add(coordination::Count& to, const coordination::Count& more) {
   to.set_served(to.served() + more.served());
   to.set_refused(to.refused() + more.refused());
   to.set_failed(to.failed() + more.failed());
@@ -32,7 +32,7 @@
     : set_(settings), self_(std::move(name), birth), site_(std::move(site)), rows_(settings.most_rows) {}
 
 bool Ledger::seal(Micros now, const Counts& counts) {
-  const auto same = [](const fleet::Count& a, const fleet::Count& b) {
+  const auto same = [](const coordination::Count& a, const coordination::Count& b) {
     return a.served() == b.served() && a.refused() == b.refused() && a.failed() == b.failed() &&
            a.tokens() == b.tokens() && a.worth() == b.worth();
   };
@@ -46,13 +46,13 @@
   own_ = counts;
   dirty_ = false;
   Counts sum = counts;
-  fleet::Row row;
+  coordination::Row row;
   for (const auto& [birth, earlier] : earlier_) {
-    for (const fleet::Count& c : earlier.counts()) {
-      fleet::Count& to = sum[{c.team(), c.klass()}];
+    for (const coordination::Count& c : earlier.counts()) {
+      coordination::Count& to = sum[{c.team(), c.klass()}];
       add(to, c);
     }
-    fleet::Mark& mark = *row.add_folded();
+    coordination::Mark& mark = *row.add_folded();
     mark.set_name(self_.first);
     mark.set_birth(birth);
     mark.set_version(earlier.version());
@@ -62,13 +62,13 @@
   row.set_site(site_);
   row.set_version(rows_.version(self_) + 1);
   // Beyond the bound all others count as one.
-  fleet::Count rest;
+  coordination::Count rest;
   for (const auto& [key, count] : sum) {
     if (static_cast<std::size_t>(row.counts_size()) + 1 >= set_.most_counts) {
       add(rest, count);
       continue;
     }
-    fleet::Count& c = *row.add_counts();
+    coordination::Count& c = *row.add_counts();
     c = count;
     c.set_team(key.first);
     c.set_klass(key.second);
@@ -78,25 +78,25 @@
   return true;
 }
 
-bool Ledger::sane(const fleet::Row& row) const {
+bool Ledger::sane(const coordination::Row& row) const {
   if (row.name().empty() || row.name().size() > kMostName || row.site().size() > kMostName ||
       row.version() == 0 || row.version() > kMostCount || row.birth() == 0 || row.age_us() < 0 ||
       static_cast<std::size_t>(row.counts_size()) > set_.most_counts ||
       static_cast<std::size_t>(row.folded_size()) > kMostEarlier)
     return false;
-  for (const fleet::Count& c : row.counts()) {
+  for (const coordination::Count& c : row.counts()) {
     if (c.team().size() > kMostName || c.klass().size() > kMostName) return false;
     for (const std::uint64_t n : {c.served(), c.refused(), c.failed(), c.tokens(), c.worth()}) {
       if (n > kMostCount) return false;
     }
   }
-  for (const fleet::Mark& m : row.folded()) {
+  for (const coordination::Mark& m : row.folded()) {
     if (m.name() != row.name() || m.birth() >= row.birth()) return false;
   }
   return true;
 }
 
-std::string Ledger::take(Micros now, fleet::Row row, Micros late, int passes) {
+std::string Ledger::take(Micros now, coordination::Row row, Micros late, int passes) {
   if (!sane(row)) return "numbers that cannot be";
   const Life life{row.name(), row.birth()};
   if (life == self_)
@@ -105,7 +105,7 @@
   // A row that a later life has taken in is not to come back.
   for (const auto& [held, h] : rows_.all()) {
     if (held.first != life.first || held.second <= life.second) continue;
-    const fleet::Mark* mark = folded(h.entry, life.second);
+    const coordination::Mark* mark = folded(h.entry, life.second);
     if (mark != nullptr ? mark->version() >= row.version() : took_in(h.entry, life.second)) return "";
   }
   if (life.first == self_.first) {
@@ -113,9 +113,9 @@
     take_in(std::move(row));
     return "";
   }
-  const fleet::Row copy = row;
+  const coordination::Row copy = row;
   if (!rows_.take(now, std::move(row), late, passes)) return "";
-  for (const fleet::Mark& m : copy.folded()) {
+  for (const coordination::Mark& m : copy.folded()) {
     const Life before{m.name(), m.birth()};
     ended(now, before);
     if (rows_.version(before) <= m.version()) rows_.erase(before);
@@ -124,7 +124,7 @@
 }
 
 // Into our own row. What an earlier life had taken in stands in its row already.
-void Ledger::take_in(fleet::Row row) {
+void Ledger::take_in(coordination::Row row) {
   const std::uint64_t birth = row.birth();
   for (const auto& [other, e] : earlier_) {
     if (other > birth && took_in(e, birth)) return;
@@ -149,7 +149,7 @@
     const Micros age = std::max<Micros>(0, (over == ended_.end() ? now : over->second) - h.sealed);
     const Micros unknown = age + set_.most_delay + kUnsealed;
     const auto most = static_cast<std::uint64_t>(set_.most_per_s * static_cast<double>(unknown) / 1e6);
-    for (const fleet::Count& c : h.entry.counts()) {
+    for (const coordination::Count& c : h.entry.counts()) {
       Total& t = out[{c.team(), c.klass(), h.entry.site()}];
       if (!counted) add(t.count, c);
       t.most_served += c.served() + most;
--- a/src/shared/ledger.h
+++ b/src/shared/replicated_counter.h
@@ -19,7 +19,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet.pb.h"
+#include "coordination.pb.h"
 #include "shared/settings.h"
 
 namespace flintglade::shared {
@@ -72,43 +72,43 @@
 
 class Ledger {
  public:
-  using Counts = std::map<std::pair<std::string, std::string>, fleet::Count>;  // by team and class
+  using Counts = std::map<std::pair<std::string, std::string>, coordination::Count>;  // by team and class
 
   Ledger(const Settings& settings, std::string name, std::uint64_t birth, std::string site);
 
   // What this life has counted until now. True: a new version was sealed.
   bool seal(Micros now, const Counts& counts);
   // A row that was heard or read back. Empty: taken, or known already; else what is wrong with it.
-  std::string take(Micros now, fleet::Row row, Micros late, int passes);
+  std::string take(Micros now, coordination::Row row, Micros late, int passes);
   // That life is surely over by now: nothing of it is still to come, but what it never told.
   void ended(Micros now, const Life& life);
 
   struct Total {
-    fleet::Count count;  // team and class empty: any
+    coordination::Count count;  // team and class empty: any
     std::uint64_t most_served = 0;
     Micros oldest = 0;  // age of the oldest row in it
   };
   // By team, class and site.
   std::map<std::tuple<std::string, std::string, std::string>, Total> totals(Micros now) const;
 
-  Heard<fleet::Row>& rows() { return rows_; }
-  const Heard<fleet::Row>& rows() const { return rows_; }
+  Heard<coordination::Row>& rows() { return rows_; }
+  const Heard<coordination::Row>& rows() const { return rows_; }
   const Life& self() const { return self_; }
 
  private:
-  bool sane(const fleet::Row& row) const;
-  void take_in(fleet::Row row);
+  bool sane(const coordination::Row& row) const;
+  void take_in(coordination::Row row);
 
   Settings set_;
   Life self_;
   std::string site_;
-  Heard<fleet::Row> rows_;
-  std::map<std::uint64_t, fleet::Row> earlier_;  // lives of our name that are folded in
+  Heard<coordination::Row> rows_;
+  std::map<std::uint64_t, coordination::Row> earlier_;  // lives of our name that are folded in
   std::map<Life, Micros> ended_;
   Counts own_;
   bool dirty_ = true;
 };
 
-void add(fleet::Count& to, const fleet::Count& more);
+void add(coordination::Count& to, const coordination::Count& more);
 
 }  // namespace flintglade::shared
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -22,7 +22,7 @@
 }
 }  // namespace
 
-SharedState::SharedState(Settings settings, Ports ports, const peers::Self& self, std::uint64_t seed)
+SharedState::SharedState(Settings settings, Ports ports, const membership::Self& self, std::uint64_t seed)
     : set_(std::move(settings)),
       ports_(std::move(ports)),
       self_(self.name, self.birth),
@@ -34,14 +34,14 @@
 
 // ---- what this router has to say
 
-void SharedState::ask(Micros now, fleet::Agent& agent, const fleet::Ask& ask, bool to_peer) {
+void SharedState::ask(Micros now, coordination::Agent& agent, const coordination::Ask& ask, bool to_peer) {
   if (!to_peer && is_bank(now, agent)) {
     if (const auto p = bank_.asked(now, self_.first, self_.second, ask)) ports_.parcel(*p);
     return;
   }
-  fleet::Share s;
+  coordination::Share s;
   *s.mutable_ask() = ask;
-  const peers::Peer* bank = agent.owner(kBankJob);
+  const membership::Peer* bank = agent.owner(kBankJob);
   if (!to_peer && bank != nullptr) return share(now, agent, bank->name, std::move(s));
   counters_.no_bank += !to_peer;
   const auto others = living(agent);
@@ -50,21 +50,22 @@
   share(now, agent, others[random_() % others.size()]->name, std::move(s));
 }
 
-void SharedState::lent(Micros now, fleet::Agent& agent, const std::string& to, const fleet::Parcel& parcel) {
-  fleet::Share s;
+void SharedState::lent(Micros now, coordination::Agent& agent, const std::string& to,
+                       const coordination::Parcel& parcel) {
+  coordination::Share s;
   *s.mutable_parcel() = parcel;
   share(now, agent, to, std::move(s));
 }
 
-void SharedState::give_back(Micros now, fleet::Agent& agent, const fleet::Return& back) {
+void SharedState::give_back(Micros now, coordination::Agent& agent, const coordination::Return& back) {
   if (bank_.open() && bank_.number() == back.bank()) {
     bank_.returned(now, self_.first, back);
     return;
   }
   // To the bank that handed it out, and to no other: it could be handed out twice.
-  for (const fleet::Job& j : agent.table().jobs()) {
+  for (const coordination::Job& j : agent.table().jobs()) {
     if (j.name() != kBankJob || j.number() != back.bank() || j.owner().empty()) continue;
-    fleet::Share s;
+    coordination::Share s;
     *s.mutable_back() = back;
     share(now, agent, j.owner(), std::move(s));
   }
@@ -74,29 +75,29 @@
   if (set_.counts && ledger_.seal(now, counts)) ledger_.rows().all()[self_].passes = 4;
 }
 
-void SharedState::saw(Micros now, std::vector<fleet::Case> cases) {
-  fleet::Seen seen;
+void SharedState::saw(Micros now, std::vector<coordination::Case> cases) {
+  coordination::Seen seen;
   seen.set_name(self_.first);
   seen.set_birth(self_.second);
   seen.set_site(site_);
   seen.set_version(std::max(seen_.version(self_), own_seen_) + 1);
-  for (fleet::Case& c : cases) *seen.add_cases() = std::move(c);
+  for (coordination::Case& c : cases) *seen.add_cases() = std::move(c);
   seen_.take(now, std::move(seen), 0, 5);
   next_gossip_ = now;
 }
 
 // ---- what comes
 
-bool SharedState::sane(const fleet::Seen& seen) const {
+bool SharedState::sane(const coordination::Seen& seen) const {
   if (seen.name().empty() || seen.name().size() > kMostName || seen.site().size() > kMostName ||
       seen.version() == 0 || seen.version() > kMostVersion || seen.birth() == 0 || seen.age_us() < 0 ||
       seen.age_us() > kMostAge || static_cast<std::size_t>(seen.cases_size()) > set_.most_cases)
     return false;
   return std::all_of(seen.cases().begin(), seen.cases().end(),
-                     [](const fleet::Case& c) { return c.age_us() >= 0 && c.age_us() <= kMostAge; });
+                     [](const coordination::Case& c) { return c.age_us() >= 0 && c.age_us() <= kMostAge; });
 }
 
-void SharedState::absurd(fleet::Agent& agent, const std::string& from, const std::string& what) {
+void SharedState::absurd(coordination::Agent& agent, const std::string& from, const std::string& what) {
   ++counters_.absurd;
   agent.event("share_refused", {{"from", from}, {"why", what}}, true);
 }
@@ -120,8 +121,8 @@
   return ports_.unix_time() + apart[apart.size() / 2];
 }
 
-void SharedState::receive(Micros now, fleet::Agent& agent, const fleet::Agent::Word& word) {
-  using What = fleet::Agent::Word::What;
+void SharedState::receive(Micros now, coordination::Agent& agent, const coordination::Agent::Word& word) {
+  using What = coordination::Agent::Word::What;
   if (word.job == kBankJob && word.what == What::starts) {
     bank_.starts(now, word.number);
     next_bank_ = now;
@@ -132,7 +133,7 @@
   }
   if (word.what != What::share) return;
   ++counters_.received;
-  const fleet::Share& s = word.share;
+  const coordination::Share& s = word.share;
   if (word.who.empty() || word.who.size() > kMostName || word.who == self_.first || word.birth == 0) {
     return absurd(agent, word.from, "no name");
   }
@@ -141,19 +142,19 @@
   clock.unix_apart = s.unix_us() - ports_.unix_time();
   clock.heard = now;
   switch (s.what_case()) {
-    case fleet::Share::kAsk:
+    case coordination::Share::kAsk:
       answer(now, agent, word.from, word.who, word.birth, s.ask());
       break;
-    case fleet::Share::kParcel:
+    case coordination::Share::kParcel:
       ports_.parcel(s.parcel());
       break;
-    case fleet::Share::kBack:
+    case coordination::Share::kBack:
       bank_.returned(now, word.who, s.back());
       break;
-    case fleet::Share::kNews:
+    case coordination::Share::kNews:
       take(now, agent, s.news(), longer, word.who);
       break;
-    case fleet::Share::kDigest:
+    case coordination::Share::kDigest:
       take(now, agent, s.digest(), word.who);
       break;
     default:
@@ -161,27 +162,27 @@
   }
 }
 
-void SharedState::answer(Micros now, fleet::Agent& agent, const std::string&, const std::string& who,
-                         std::uint64_t birth, const fleet::Ask& ask) {
+void SharedState::answer(Micros now, coordination::Agent& agent, const std::string&, const std::string& who,
+                         std::uint64_t birth, const coordination::Ask& ask) {
   if (ask.want() < 0 || ask.want() > kMostAmount || ask.demand() < 0 || ask.demand() > kMostAmount)
     return absurd(agent, who, "an amount that cannot be");
   if (!is_bank(now, agent)) return ports_.lend(who, ask);
   const auto parcel = bank_.asked(now, who, birth, ask);
   if (!parcel) return;
-  fleet::Share s;
+  coordination::Share s;
   *s.mutable_parcel() = *parcel;
   share(now, agent, who, std::move(s));
 }
 
-void SharedState::take(Micros now, fleet::Agent& agent, const fleet::News& news, Micros longer,
+void SharedState::take(Micros now, coordination::Agent& agent, const coordination::News& news, Micros longer,
                        const std::string& from) {
   std::string wrong;
-  for (const fleet::Row& row : news.rows()) {
+  for (const coordination::Row& row : news.rows()) {
     const std::string why = ledger_.take(now, row, longer, passes(agent));
     if (!why.empty()) wrong = "row of " + row.name().substr(0, kMostName) + ": " + why;
   }
   bool heard = false;
-  for (const fleet::Seen& seen : news.seen()) {
+  for (const coordination::Seen& seen : news.seen()) {
     if (!sane(seen)) {
       wrong = "words of " + seen.name().substr(0, kMostName) + ": numbers that cannot be";
     } else if (seen.name() != self_.first) {
@@ -196,21 +197,22 @@
 }
 
 // Who has the newer version of a row sends it; what is newer there is asked for, once.
-void SharedState::take(Micros now, fleet::Agent& agent, const fleet::Digest& digest, const std::string& who) {
+void SharedState::take(Micros now, coordination::Agent& agent, const coordination::Digest& digest,
+                       const std::string& who) {
   std::map<Life, std::uint64_t> marks;
-  for (const fleet::Mark& m : digest.marks()) {
+  for (const coordination::Mark& m : digest.marks()) {
     if (marks.size() < 2 * kMarks) marks[{m.name(), m.birth()}] = m.version();
   }
-  fleet::Digest back;
+  coordination::Digest back;
   back.set_from(digest.from());
   back.set_to(digest.to());
   bool lacks = false;
-  std::vector<fleet::Share> out(1);
+  std::vector<coordination::Share> out(1);
   std::size_t bytes = 0;
   for (const auto& [life, h] : ledger_.rows().all()) {
     if (life.first < digest.from() || (!digest.to().empty() && life.first >= digest.to())) continue;
     if (back.marks_size() < static_cast<int>(2 * kMarks)) {
-      fleet::Mark& mark = *back.add_marks();
+      coordination::Mark& mark = *back.add_marks();
       mark.set_name(life.first);
       mark.set_birth(life.second);
       mark.set_version(h.entry.version());
@@ -227,33 +229,34 @@
       bytes = 0;
     }
     bytes += size;
-    *out.back().mutable_news()->add_rows() = Heard<fleet::Row>::aged(now, h);
+    *out.back().mutable_news()->add_rows() = Heard<coordination::Row>::aged(now, h);
   }
   for (const auto& [life, version] : marks) lacks = lacks || ledger_.rows().version(life) < version;
-  for (fleet::Share& s : out) {
+  for (coordination::Share& s : out) {
     if (s.has_news()) share(now, agent, who, std::move(s));
   }
   if (!lacks || !digest.answer()) return;
-  fleet::Share s;
+  coordination::Share s;
   *s.mutable_digest() = back;
   share(now, agent, who, std::move(s));
 }
 
 // ---- what goes out
 
-std::vector<const peers::Peer*> SharedState::living(const fleet::Agent& agent) const {
-  std::vector<const peers::Peer*> out;
+std::vector<const membership::Peer*> SharedState::living(const coordination::Agent& agent) const {
+  std::vector<const membership::Peer*> out;
   for (const auto& [name, p] : agent.peers().others()) {
-    if (p.standing == fleet::ALIVE || p.standing == fleet::SUSPECT) out.push_back(&p);
+    if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) out.push_back(&p);
   }
   return out;
 }
 
-int SharedState::passes(const fleet::Agent& agent) const {
+int SharedState::passes(const coordination::Agent& agent) const {
   return 2 + static_cast<int>(std::log2(1.0 + static_cast<double>(agent.peers().others().size())) / 2);
 }
 
-void SharedState::share(Micros now, fleet::Agent& agent, const std::string& to, fleet::Share share) {
+void SharedState::share(Micros now, coordination::Agent& agent, const std::string& to,
+                        coordination::Share share) {
   const auto it = agent.peers().others().find(to);
   if (it == agent.peers().others().end()) return;
   share.set_sent_us(now);
@@ -263,9 +266,9 @@
   agent.share(to, it->second.at, share);
 }
 
-void SharedState::gossip(Micros now, fleet::Agent& agent) {
+void SharedState::gossip(Micros now, coordination::Agent& agent) {
   const auto others = living(agent);
-  fleet::Share s;
+  coordination::Share s;
   std::size_t bytes = 0;
   const auto add = [&](auto& heard, auto adder) {
     for (auto& [life, h] : heard.all()) {
@@ -276,20 +279,20 @@
       adder(h);
     }
   };
-  add(seen_, [&](const auto& h) { *s.mutable_news()->add_seen() = Heard<fleet::Seen>::aged(now, h); });
+  add(seen_, [&](const auto& h) { *s.mutable_news()->add_seen() = Heard<coordination::Seen>::aged(now, h); });
   add(ledger_.rows(),
-      [&](const auto& h) { *s.mutable_news()->add_rows() = Heard<fleet::Row>::aged(now, h); });
+      [&](const auto& h) { *s.mutable_news()->add_rows() = Heard<coordination::Row>::aged(now, h); });
   if (!s.has_news() || others.empty()) return;
-  std::vector<const peers::Peer*> to;
+  std::vector<const membership::Peer*> to;
   std::sample(others.begin(), others.end(), std::back_inserter(to), set_.fan_out, random_);
-  for (const peers::Peer* p : to) share(now, agent, p->name, s);
+  for (const membership::Peer* p : to) share(now, agent, p->name, s);
 }
 
-void SharedState::compare(Micros now, fleet::Agent& agent) {
+void SharedState::compare(Micros now, coordination::Agent& agent) {
   const auto others = living(agent);
   if (others.empty()) return;
-  fleet::Share s;
-  fleet::Digest& d = *s.mutable_digest();
+  coordination::Share s;
+  coordination::Digest& d = *s.mutable_digest();
   d.set_from(compared_);
   d.set_answer(true);
   compared_.clear();
@@ -299,7 +302,7 @@
       compared_ = life.first;
       break;
     }
-    fleet::Mark& mark = *d.add_marks();
+    coordination::Mark& mark = *d.add_marks();
     mark.set_name(life.first);
     mark.set_birth(life.second);
     mark.set_version(h.entry.version());
@@ -309,13 +312,13 @@
   share(now, agent, others[random_() % others.size()]->name, std::move(s));
 }
 
-void SharedState::tell_opinions(Micros now, const fleet::Agent& agent) {
+void SharedState::tell_opinions(Micros now, const coordination::Agent& agent) {
   std::erase_if(seen_.all(),
                 [&](const auto& h) { return h.first != self_ && now - h.second.sealed > 4 * set_.keep; });
   opinions_ = weigh(now, set_, seen_, self_.first);
   std::set<std::string> sites{site_};
   std::size_t routers = 1;
-  for (const peers::Peer* p : living(agent)) {
+  for (const membership::Peer* p : living(agent)) {
     ++routers;
     sites.insert(p->site);
   }
@@ -323,7 +326,7 @@
   next_opinions_ = opinions_.empty() ? core::kNever : now + kOpinionTick;
 }
 
-void SharedState::tick(Micros now, fleet::Agent& agent) {
+void SharedState::tick(Micros now, coordination::Agent& agent) {
   if (now >= next_gossip_) {
     next_gossip_ = now + set_.gossip;
     gossip(now, agent);
@@ -338,7 +341,7 @@
     next_bank_ = bank_.open() ? now + kBankTick : core::kNever;
     bank_.record(agent.table());
     if (is_bank(now, agent)) {
-      for (const fleet::Draw& d : bank_.draws(now, fleet_time(now))) agent.draw(now, d);
+      for (const coordination::Draw& d : bank_.draws(now, fleet_time(now))) agent.draw(now, d);
     }
   }
 }
@@ -350,8 +353,9 @@
 // ---- what lasts
 
 std::string SharedState::snapshot(Micros now) const {
-  fleet::News news;
-  for (const auto& [life, h] : ledger_.rows().all()) *news.add_rows() = Heard<fleet::Row>::aged(now, h);
+  coordination::News news;
+  for (const auto& [life, h] : ledger_.rows().all())
+    *news.add_rows() = Heard<coordination::Row>::aged(now, h);
   const std::string body = news.SerializeAsString();
   std::string out = kMagic;
   for (const std::uint32_t n : {kSnapshotVersion, static_cast<std::uint32_t>(body.size()), checksum(body)}) {
@@ -372,15 +376,15 @@
   if (number(4) != kSnapshotVersion) return "it is of version " + std::to_string(number(4));
   const std::string_view body = bytes.substr(16);
   if (body.size() != number(8) || checksum(body) != number(12)) return "it is torn";
-  fleet::News news;
+  coordination::News news;
   if (!news.ParseFromArray(body.data(), static_cast<int>(body.size()))) return "it cannot be read";
   // How old it is nobody knows: as old as a row can be.
-  for (const fleet::Row& row : news.rows()) ledger_.take(now, row, kMostAge, 2);
+  for (const coordination::Row& row : news.rows()) ledger_.take(now, row, kMostAge, 2);
   return "";
 }
 
-void SharedState::status(Micros now, const fleet::Agent& agent, fleet::Status& out) const {
-  fleet::SharedStatus& s = *out.mutable_shared();
+void SharedState::status(Micros now, const coordination::Agent& agent, coordination::Status& out) const {
+  coordination::SharedStatus& s = *out.mutable_shared();
   s = wallet_;
   s.set_bank(is_bank(now, agent));
   for (const auto& [key, t] : ledger_.totals(now)) {
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -1,6 +1,6 @@
 // What a router of the fleet does for what all share: it is the bank while it owns that job, passes asks on,
-// spreads counts and judgements. Pure, beside the fleet::Agent and on its clock and thread; the wallet and
-// the witness, which the serving path uses, are elsewhere and reached through Ports.
+// spreads counts and judgements. Pure, beside the coordination::Agent and on its clock and thread; the wallet
+// and the witness, which the serving path uses, are elsewhere and reached through Ports.
 //
 // News travel as rumors, a few times each to a few others, and by digests with one other now and then: what a
 // router missed, for a second or for an hour, comes in packets of a bounded size at a bounded pace.
@@ -12,32 +12,33 @@
 #include <string>
 #include <vector>
 
-#include "fleet/agent.h"
-#include "shared/bank.h"
-#include "shared/hearsay.h"
-#include "shared/ledger.h"
+#include "coordination/coordination_protocol.h"
+#include "shared/health_gossip.h"
+#include "shared/quota_allocator.h"
+#include "shared/replicated_counter.h"
 
 namespace flintglade::shared {
 
-class SharedState final : public fleet::Companion {
+class SharedState final : public coordination::Companion {
  public:
   struct Ports {
-    std::function<void(const fleet::Parcel&)> parcel;                      // for this router's wallet
-    std::function<void(const std::string& from, const fleet::Ask&)> lend;  // another router asks ours
+    std::function<void(const coordination::Parcel&)> parcel;                      // for this router's wallet
+    std::function<void(const std::string& from, const coordination::Ask&)> lend;  // another router asks ours
     // What has been heard of replicas, and of how many routers and sites.
     std::function<void(std::vector<Opinion>, std::size_t routers, std::size_t sites)> opinions;
     std::function<Micros()> unix_time;
   };
-  SharedState(Settings settings, Ports ports, const peers::Self& self, std::uint64_t seed);
+  SharedState(Settings settings, Ports ports, const membership::Self& self, std::uint64_t seed);
 
   // ---- from this router's core
-  void ask(Micros now, fleet::Agent& agent, const fleet::Ask& ask, bool to_peer);
-  void lent(Micros now, fleet::Agent& agent, const std::string& to, const fleet::Parcel& parcel);
-  void give_back(Micros now, fleet::Agent& agent, const fleet::Return& back);
+  void ask(Micros now, coordination::Agent& agent, const coordination::Ask& ask, bool to_peer);
+  void lent(Micros now, coordination::Agent& agent, const std::string& to,
+            const coordination::Parcel& parcel);
+  void give_back(Micros now, coordination::Agent& agent, const coordination::Return& back);
   void counted(Micros now, const Ledger::Counts& counts);
-  void saw(Micros now, std::vector<fleet::Case> cases);
+  void saw(Micros now, std::vector<coordination::Case> cases);
   // For whoever asks: the wallet, and the replicas that hearsay has this router avoid now.
-  void core_says(fleet::SharedStatus wallet, std::set<core::ReplicaId> avoided) {
+  void core_says(coordination::SharedStatus wallet, std::set<core::ReplicaId> avoided) {
     wallet_ = std::move(wallet);
     avoided_ = std::move(avoided);
   }
@@ -45,31 +46,33 @@
   std::string restore(Micros now, std::string_view bytes);
   std::string snapshot(Micros now) const;
 
-  // ---- fleet::Companion
-  void receive(Micros now, fleet::Agent& agent, const fleet::Agent::Word& word) override;
-  void tick(Micros now, fleet::Agent& agent) override;
+  // ---- coordination::Companion
+  void receive(Micros now, coordination::Agent& agent, const coordination::Agent::Word& word) override;
+  void tick(Micros now, coordination::Agent& agent) override;
   Micros next() const override;
-  void status(Micros now, const fleet::Agent& agent, fleet::Status& out) const override;
+  void status(Micros now, const coordination::Agent& agent, coordination::Status& out) const override;
 
   const Ledger& ledger() const { return ledger_; }
-  const Heard<fleet::Seen>& seen() const { return seen_; }
+  const Heard<coordination::Seen>& seen() const { return seen_; }
   const Bank& bank() const { return bank_; }
 
  private:
-  void share(Micros now, fleet::Agent& agent, const std::string& to, fleet::Share share);
-  void answer(Micros now, fleet::Agent& agent, const std::string& at, const std::string& who,
-              std::uint64_t birth, const fleet::Ask& ask);
-  void take(Micros now, fleet::Agent& agent, const fleet::News& news, Micros late, const std::string& from);
-  void take(Micros now, fleet::Agent& agent, const fleet::Digest& digest, const std::string& at);
-  void gossip(Micros now, fleet::Agent& agent);
-  void compare(Micros now, fleet::Agent& agent);
+  void share(Micros now, coordination::Agent& agent, const std::string& to, coordination::Share share);
+  void answer(Micros now, coordination::Agent& agent, const std::string& at, const std::string& who,
+              std::uint64_t birth, const coordination::Ask& ask);
+  void take(Micros now, coordination::Agent& agent, const coordination::News& news, Micros late,
+            const std::string& from);
+  void take(Micros now, coordination::Agent& agent, const coordination::Digest& digest,
+            const std::string& at);
+  void gossip(Micros now, coordination::Agent& agent);
+  void compare(Micros now, coordination::Agent& agent);
   Micros late(Micros now, const std::string& who, std::uint64_t birth, Micros sent);
-  std::vector<const peers::Peer*> living(const fleet::Agent& agent) const;
-  bool sane(const fleet::Seen& seen) const;
-  void absurd(fleet::Agent& agent, const std::string& from, const std::string& what);
-  int passes(const fleet::Agent& agent) const;
-  void tell_opinions(Micros now, const fleet::Agent& agent);
-  bool is_bank(Micros now, const fleet::Agent& agent) const {
+  std::vector<const membership::Peer*> living(const coordination::Agent& agent) const;
+  bool sane(const coordination::Seen& seen) const;
+  void absurd(coordination::Agent& agent, const std::string& from, const std::string& what);
+  int passes(const coordination::Agent& agent) const;
+  void tell_opinions(Micros now, const coordination::Agent& agent);
+  bool is_bank(Micros now, const coordination::Agent& agent) const {
     return bank_.open() && agent.proved(now, kBankJob);
   }
 
@@ -80,7 +83,7 @@
   std::mt19937_64 random_;
   Bank bank_;
   Ledger ledger_;
-  Heard<fleet::Seen> seen_;
+  Heard<coordination::Seen> seen_;
   std::uint64_t own_seen_ = 0;  // the highest version that was heard in our name
   struct Clock {
     std::uint64_t birth = 0;
@@ -92,7 +95,7 @@
   Micros next_gossip_ = 0, next_compare_ = 0, next_bank_ = core::kNever;
   Micros next_opinions_ = core::kNever;
   Micros fleet_time(Micros now) const;  // Unix time: the middle one of all routers' that were heard lately
-  fleet::SharedStatus wallet_;
+  coordination::SharedStatus wallet_;
   std::set<core::ReplicaId> avoided_;
   std::vector<Opinion> opinions_;
   struct Counters {
--- a/src/boot_info.cpp
+++ b/src/simulator_adapter/boot_info.cpp
@@ -1,4 +1,4 @@
-#include "boot_info.h"
+#include "simulator_adapter/boot_info.h"
 
 #include <charconv>
 #include <cmath>
--- a/src/simhost.cpp
+++ b/src/simulator_adapter/simhost.cpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "boot_info.h"
 #include "flintglade/policy/balancer.h"
-#include "wire.h"
+#include "simulator_adapter/boot_info.h"
+#include "simulator_adapter/wire.h"
 
 namespace {
 
--- a/src/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator_adapter/wire.h"
 
 #include <bit>
 #include <cstring>
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -16,8 +16,8 @@
 #include "discovery/boot_clock.h"
 #include "discovery/documents.h"
 #include "discovery/watch.h"
-#include "http/front.h"
-#include "http/subchannels.h"
+#include "http/replica_client.h"
+#include "http/server.h"
 
 namespace {
 
--- a/tests/data/write_fixtures.cpp
+++ b/tests/data/write_fixtures.cpp
@@ -41,7 +41,7 @@
   if (!why.empty()) std::fprintf(stderr, "%s\n", why.c_str());
   const bool good =
       why.empty() &&
-      write(folder + kStateFile, handover::write_state(sample_state(), state_writer(), kStateWrittenAt)) &&
+      write(folder + kStateFile, hot_restart::write_state(sample_state(), state_writer(), kStateWrittenAt)) &&
       write(folder + kVoterFile, file_contents(scratch + "/voter/record.log")) &&
       write(folder + kSharedFile, sample_shared_state()) &&
       write(folder + kProcessSlotsFile, write_process_slots(scratch));
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -14,8 +14,8 @@
 #include <sstream>
 
 #include "check.h"
-#include "fleet.pb.h"
-#include "fleet/audit.h"
+#include "coordination.pb.h"
+#include "coordination/audit.h"
 #include "fleet/links.h"
 #include "fleet/process.h"
 #include "settings.h"
@@ -23,8 +23,8 @@
 
 namespace flintglade::tests {
 
-using fleet::Audit;
-using fleet::LogLine;
+using coordination::Audit;
+using coordination::LogLine;
 
 inline std::string g_program;  // the router's
 inline constexpr const char* kJob = "list-reader@hall";
@@ -172,7 +172,7 @@
       std::uint64_t leads = 0;
       for (std::string text; std::getline(lines, text);) {
         LogLine line;
-        if (!fleet::read_line(text, line)) continue;
+        if (!coordination::read_line(text, line)) continue;
         if (line.event == "leads") leads = std::strtoull(line["term"].c_str(), nullptr, 10);
         if (line.event == "leads_no_more" || (line.event == "listening" && line["wire"] == "http")) leads = 0;
       }
@@ -208,8 +208,8 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
   // What the router says of itself; of no name if it does not answer.
-  fleet::Status status(std::size_t i) const {
-    fleet::Packet question, answer;
+  coordination::Status status(std::size_t i) const {
+    coordination::Packet question, answer;
     question.mutable_query();
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, {boost::asio::ip::udp::v4(), 0});
@@ -222,7 +222,7 @@
     return answer.status();
   }
   // As if it came from a router of the fleet.
-  void forge(std::size_t to, const fleet::Packet& p) const {
+  void forge(std::size_t to, const coordination::Packet& p) const {
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, {boost::asio::ip::udp::v4(), 0});
     send(socket, to, p);
@@ -239,7 +239,7 @@
   std::string folder;
 
  private:
-  void send(boost::asio::ip::udp::socket& socket, std::size_t to, const fleet::Packet& p) const {
+  void send(boost::asio::ip::udp::socket& socket, std::size_t to, const coordination::Packet& p) const {
     socket.send_to(boost::asio::buffer(p.SerializeAsString()),
                    {boost::asio::ip::address_v4::loopback(), ports_.at(to)});
   }
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "fleet/journal.h"
+#include "coordination/raft_log.h"
 
 namespace flintglade::tests {
 namespace {
 
 constexpr Micros kStep = 5 * core::kMilli;
 
-struct MemoryDisk final : fleet::Storage {
+struct MemoryDisk final : coordination::Storage {
   std::string bytes;
   bool fails = false;
   std::string append(const std::string& more) override {
@@ -25,8 +25,8 @@
 };
 
 struct Box {
-  fleet::AgentSettings settings;
-  std::unique_ptr<fleet::Agent> agent;
+  coordination::AgentSettings settings;
+  std::unique_ptr<coordination::Agent> agent;
   std::unique_ptr<MemoryDisk> disk;  // of a voter
   double rate = 1.0;
   Micros offset = 0, paused_until = 0, down_until = 0, next_effect = 0;
@@ -52,7 +52,7 @@
   Play(const World& world, const std::vector<Fault>& faults)
       : world_(world), faults_(faults), random_(world.seed) {
     if (!world.budgets.empty()) level_ = static_cast<double>(world.budgets[0].burst);
-    std::vector<fleet::VoterAt> voters;
+    std::vector<coordination::VoterAt> voters;
     for (unsigned i = 0; i < world.voters; ++i) voters.push_back({name(i), i + 1, at(i)});
     for (unsigned i = 0; i < world.routers; ++i) {
       Box& b = boxes_.emplace_back();
@@ -68,13 +68,13 @@
       if (!world.budgets.empty()) b.settings.wanted.push_back({shared::kBankJob, ""});
       if (i < world.voters) {
         b.disk = std::make_unique<MemoryDisk>();
-        std::vector<fleet::Voter> first;
+        std::vector<coordination::Voter> first;
         for (const auto& v : voters) {
-          fleet::Voter& one = first.emplace_back();
+          coordination::Voter& one = first.emplace_back();
           one.set_id(v.id);
           one.set_at(v.at);
         }
-        b.disk->bytes = fleet::all_bytes(fleet::Node::first_memory("test", i + 1, first));
+        b.disk->bytes = coordination::all_bytes(coordination::Node::first_memory("test", i + 1, first));
       }
       start(i);
     }
@@ -96,13 +96,13 @@
     std::string out;
     for (std::size_t i = 0; i < boxes_.size(); ++i) {
       if (!up(i)) continue;
-      const fleet::Status s = boxes_[i].agent->status(boxes_[i].local(now_));
+      const coordination::Status s = boxes_[i].agent->status(boxes_[i].local(now_));
       out += "\n" + name(i) + " " + s.role() + " term " + std::to_string(s.term()) + " applied " +
              std::to_string(s.index()) + " of " + std::to_string(s.last_index()) + " leader " +
              s.leader_at() + (s.displaced() ? " displaced" : "") + s.why_halted();
-      for (const fleet::Job& j : s.table().jobs())
+      for (const coordination::Job& j : s.table().jobs())
         out += " " + j.name() + "=" + std::to_string(j.number()) + ":" + j.owner() + ":" + j.wanted();
-      for (const fleet::Held& h : s.held()) out += " holds " + h.job();
+      for (const coordination::Held& h : s.held()) out += " holds " + h.job();
     }
     return out;
   }
@@ -114,13 +114,13 @@
   void start(std::size_t i) {
     Box& b = boxes_[i];
     b.settings.self.birth += 1000;
-    b.agent = std::make_unique<fleet::Agent>(b.settings, random_());
+    b.agent = std::make_unique<coordination::Agent>(b.settings, random_());
     if (!world_.budgets.empty()) start_sharing(i);
     if (b.disk) {
       b.disk->fails = false;
-      fleet::Memory memory;
+      coordination::Memory memory;
       std::size_t torn = 0;
-      const std::string why = fleet::read_journal(b.disk->bytes, memory, torn);
+      const std::string why = coordination::read_journal(b.disk->bytes, memory, torn);
       if (!why.empty()) return broken("a voter could not read its own file: " + why);
       b.disk->bytes.resize(b.disk->bytes.size() - torn);
       const std::string refused = b.agent->vote(std::move(memory), *b.disk);
@@ -170,14 +170,14 @@
   }
 
   // No packet here holds a Status, whose maps protobuf writes in no fixed order: nobody sends a Query.
-  void record(std::size_t sender, const peers::Datagram& datagram) {
+  void record(std::size_t sender, const membership::Datagram& datagram) {
     ++seen_.datagrams;
     seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
     seen_.trace.add_integer(sender);
     seen_.trace.add_text(datagram.to);
     seen_.trace.add_text(datagram.bytes);
   }
-  void record(std::size_t receiver, const fleet::Agent::Word& word) {
+  void record(std::size_t receiver, const coordination::Agent::Word& word) {
     seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
     seen_.trace.add_integer(receiver);
     seen_.trace.add_integer(static_cast<std::uint64_t>(word.what));
@@ -186,12 +186,12 @@
   }
 
   void flush(std::size_t i) {
-    std::vector<fleet::Agent::Word> words = boxes_[i].agent->words();
+    std::vector<coordination::Agent::Word> words = boxes_[i].agent->words();
     if (Box& b = boxes_[i]; b.shared_state) {
-      for (const fleet::Agent::Word& w : words) b.shared_state->receive(b.local(now_), *b.agent, w);
+      for (const coordination::Agent::Word& w : words) b.shared_state->receive(b.local(now_), *b.agent, w);
     }
-    for (const fleet::Agent::Word& w : words) record(i, w);
-    for (peers::Datagram& d : boxes_[i].agent->take()) {
+    for (const coordination::Agent::Word& w : words) record(i, w);
+    for (membership::Datagram& d : boxes_[i].agent->take()) {
       record(i, d);
       for (std::size_t to = 0; to < boxes_.size(); ++to) {
         if (at(to) != d.to) continue;
@@ -201,8 +201,8 @@
         if (random_() % 50 == 0) flying_.push_back({now_ + 3 * delay, i, to, d.bytes});  // twice
       }
     }
-    for (const fleet::Agent::Word& w : words) {
-      if (w.what != fleet::Agent::Word::What::effect) continue;
+    for (const coordination::Agent::Word& w : words) {
+      if (w.what != coordination::Agent::Word::What::effect) continue;
       ++seen_.effects;
       std::uint64_t& highest = boxes_[i].taken[w.job];
       if (w.number < highest)
@@ -210,7 +210,7 @@
                std::to_string(highest));
       highest = std::max(highest, w.number);
     }
-    for (const fleet::Event& e : boxes_[i].agent->events()) {
+    for (const coordination::Event& e : boxes_[i].agent->events()) {
       seen_.refused += e.name == "effect_refused";
       if (e.name != "job_granted") continue;
       // Each voter applies each grant once in its life; a number never goes to two owners.
@@ -242,7 +242,7 @@
       if (f.kind == Fault::Kind::disk_fails && b.disk) b.disk->fails = true;
       if (f.kind == Fault::Kind::move && awake(who)) {
         // An operator at this router's voters: the packet that `fleet move` sends.
-        fleet::Packet p;
+        coordination::Packet p;
         p.set_fleet("test");
         p.set_from("operator");
         p.mutable_request()->set_number(1);
@@ -282,7 +282,7 @@
       Box& b = boxes_[f.to];
       if (!world_.fenced) {
         // Planted: a receiver without a fence, told apart by its own count of what it took.
-        fleet::Packet p;
+        coordination::Packet p;
         if (p.ParseFromString(f.bytes) && p.has_effect()) {
           std::uint64_t& highest = b.taken[p.effect().job()];
           if (p.effect().number() < highest) broken("without a fence, an older number was taken");
@@ -299,7 +299,7 @@
       if (now_ >= b.next_effect) {
         b.next_effect = now_ + 100 * core::kMilli;
         for (unsigned j = 0; j < world_.jobs; ++j) {
-          fleet::Effect e;
+          coordination::Effect e;
           e.set_job("job" + std::to_string(j));
           b.agent->effect(b.local(now_), e, "");
         }
@@ -355,8 +355,10 @@
     set.most_per_s = 4 * world_.asked;
     shared::SharedState::Ports ports;
     ports.unix_time = [this, i] { return unix_time(boxes_[i]); };
-    ports.parcel = [this, i](const fleet::Parcel& p) { boxes_[i].wallet->parcel(boxes_[i].local(now_), p); };
-    ports.lend = [this, i](const std::string& who, const fleet::Ask& ask) {
+    ports.parcel = [this, i](const coordination::Parcel& p) {
+      boxes_[i].wallet->parcel(boxes_[i].local(now_), p);
+    };
+    ports.lend = [this, i](const std::string& who, const coordination::Ask& ask) {
       Box& own = boxes_[i];
       if (const auto p = own.wallet->lend(own.local(now_), who, ask))
         own.shared_state->lent(own.local(now_), *own.agent, who, *p);
@@ -394,7 +396,8 @@
         b.next_ask = now_ + 50 * core::kMilli;
         for (const auto& q : b.wallet->questions(local))
           b.shared_state->ask(local, *b.agent, q.ask, q.to_peer);
-        for (const fleet::Return& r : b.wallet->returns()) b.shared_state->give_back(local, *b.agent, r);
+        for (const coordination::Return& r : b.wallet->returns())
+          b.shared_state->give_back(local, *b.agent, r);
       }
       if (now_ >= b.next_count) {
         b.next_count = now_ + core::kSecond;
@@ -408,7 +411,7 @@
 
   void serve(Box& b, std::uint32_t team, Micros local) {
     seen_.wanted += team == 0;
-    fleet::Count& c = b.counts[{team == 0 ? "q" : "s", "chat"}];
+    coordination::Count& c = b.counts[{team == 0 ? "q" : "s", "chat"}];
     if (b.wallet->spend(local, team, 0).verdict != shared::Wallet::Verdict::within) {
       c.set_refused(c.refused() + 1);
       return;
@@ -467,8 +470,8 @@
     for (const Box& b : boxes_) {
       all.insert(served_as_seen_by(b).first);
       text += " " + std::to_string(served_as_seen_by(b).first);
-      const fleet::Status s = [&] {
-        fleet::Status out;
+      const coordination::Status s = [&] {
+        coordination::Status out;
         b.shared_state->status(b.local(now_), *b.agent, out);
         return out;
       }();
--- a/tests/fleet/sim.h
+++ b/tests/fleet/sim.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "fleet/agent.h"
+#include "coordination/coordination_protocol.h"
 #include "recordings/fnv_hash.h"
+#include "shared/quota_holder.h"
 #include "shared/shared_state.h"
-#include "shared/wallet.h"
 
 namespace flintglade::tests {
 
@@ -46,7 +46,7 @@
   std::uint64_t seed = 1;
   unsigned faults_until = 20'000, ends = 36'000;  // ms
   double drift = 0.02;                            // clocks run so much apart, at the most
-  fleet::LeaseTimes owners, leaders;              // the same, but for a planted fault
+  coordination::LeaseTimes owners, leaders;       // the same, but for a planted fault
   bool disks_forget = false;                      // planted: a voter that crashes loses its last writes
   bool fenced = true;                             // planted: receivers take any number
   // Off at 0. At this moment (ms) the first voter and the last router leave; each starts again once it has
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -6,8 +6,8 @@
 #include <functional>
 
 #include "check.h"
-#include "fleet/journal.h"
-#include "fleet/shared_list.h"
+#include "coordination/raft_log.h"
+#include "coordination/shared_endpoint_list.h"
 #include "fleet/sim.h"
 
 namespace {
@@ -111,14 +111,14 @@
 // ---- peers
 
 void absurd_words_change_nothing() {
-  peers::Settings set;
+  membership::Settings set;
   set.fleet = "f";
   set.most_peers = 8;
-  peers::Swim swim(set, {"a", "north", "10.0.0.1:1", 1000}, 1);
+  membership::Swim swim(set, {"a", "north", "10.0.0.1:1", 1000}, 1);
   swim.start(0);
-  const auto hear = [&](const std::function<void(fleet::Packet&)>& fill,
+  const auto hear = [&](const std::function<void(coordination::Packet&)>& fill,
                         const std::string& fleet_name = "f") {
-    fleet::Packet p;
+    coordination::Packet p;
     p.set_fleet(fleet_name);
     p.set_from("b");
     p.set_birth(7);
@@ -126,47 +126,48 @@
     fill(p);
     swim.receive(1000, "10.0.0.2:1", p.SerializeAsString());
   };
-  const auto word = [](fleet::Packet& p, const std::string& name, std::uint64_t birth,
+  const auto word = [](coordination::Packet& p, const std::string& name, std::uint64_t birth,
                        std::uint64_t incarnation, const std::string& at) {
-    fleet::Word* w = p.add_words();
+    coordination::Word* w = p.add_words();
     w->set_name(name);
     w->set_birth(birth);
     w->set_incarnation(incarnation);
     w->set_at(at);
   };
-  hear([&](fleet::Packet& p) { word(p, "c", 5, 1, "10.0.0.3:1"); }, "another");
+  hear([&](coordination::Packet& p) { word(p, "c", 5, 1, "10.0.0.3:1"); }, "another");
   CHECK(swim.others().empty() && swim.counters().other_fleet == 1);
   swim.receive(1000, "x", "garbage");
   CHECK(swim.counters().unreadable == 1);
-  hear([&](fleet::Packet& p) { word(p, "c", UINT64_MAX, 1, "10.0.0.3:1"); });
-  hear([&](fleet::Packet& p) { word(p, "c", 5, UINT64_MAX, "10.0.0.3:1"); });
-  hear([&](fleet::Packet& p) { word(p, std::string(65, 'x'), 5, 1, "10.0.0.3:1"); });
-  hear([&](fleet::Packet& p) { word(p, "c", 5, 1, "nowhere"); });
+  hear([&](coordination::Packet& p) { word(p, "c", UINT64_MAX, 1, "10.0.0.3:1"); });
+  hear([&](coordination::Packet& p) { word(p, "c", 5, UINT64_MAX, "10.0.0.3:1"); });
+  hear([&](coordination::Packet& p) { word(p, std::string(65, 'x'), 5, 1, "10.0.0.3:1"); });
+  hear([&](coordination::Packet& p) { word(p, "c", 5, 1, "nowhere"); });
   CHECK(swim.others().empty() && swim.counters().absurd == 4);
   for (int i = 0; i < 20; ++i)
-    hear([&](fleet::Packet& p) {
+    hear([&](coordination::Packet& p) {
       word(p, "n" + std::to_string(i), 5, 1, "10.0.0.3:" + std::to_string(i + 1));
     });
   CHECK(swim.others().size() == 8 && swim.counters().too_many == 12);
   // What is said of this router it denies, by a higher incarnation.
-  hear([&](fleet::Packet& p) {
+  hear([&](coordination::Packet& p) {
     word(p, "a", 1000, 3, "10.0.0.1:1");
-    p.mutable_words(0)->set_standing(fleet::DEAD);
+    p.mutable_words(0)->set_standing(coordination::DEAD);
   });
   CHECK(swim.self().incarnation == 4 && swim.counters().refuted == 1);
 }
 
 void one_name_is_one_process() {
   const auto meet = [](bool lives) {
-    peers::Settings set;
+    membership::Settings set;
     set.fleet = "f";
-    peers::Swim early(set, {"a", "", "10.0.0.1:1", 1000}, 1), late(set, {"a", "", "10.0.0.2:1", 2000}, 2);
+    membership::Swim early(set, {"a", "", "10.0.0.1:1", 1000}, 1),
+        late(set, {"a", "", "10.0.0.2:1", 2000}, 2);
     early.start(0);
-    fleet::Packet p;
+    coordination::Packet p;
     p.set_fleet("f");
     p.set_from("b");
     p.mutable_sync();
-    fleet::Word* w = p.add_words();
+    coordination::Word* w = p.add_words();
     w->set_name("a");
     w->set_at("10.0.0.2:1");
     w->set_birth(2000);
@@ -190,15 +191,15 @@
 
 // ---- the record's file
 
-fleet::Memory some_memory() {
-  std::vector<fleet::Voter> voters(3);
+coordination::Memory some_memory() {
+  std::vector<coordination::Voter> voters(3);
   for (std::size_t i = 0; i < 3; ++i) {
     voters[i].set_id(i + 1);
     voters[i].set_at("10.0.0.1:" + std::to_string(i + 1));
   }
-  fleet::Memory m = fleet::Node::first_memory("f", 2, voters);
+  coordination::Memory m = coordination::Node::first_memory("f", 2, voters);
   for (std::uint64_t i = 2; i < 6; ++i) {
-    fleet::Frame f;
+    coordination::Frame f;
     f.mutable_entry()->set_index(i);
     f.mutable_entry()->set_term(1);
     f.mutable_entry()->set_data("entry " + std::to_string(i));
@@ -208,41 +209,42 @@
 }
 
 void a_torn_end_is_cut_off_and_damage_is_refused() {
-  const fleet::Memory whole = some_memory();
-  const std::string bytes = fleet::all_bytes(whole);
-  fleet::Frame last;
+  const coordination::Memory whole = some_memory();
+  const std::string bytes = coordination::all_bytes(whole);
+  coordination::Frame last;
   *last.mutable_entry() = whole.entries.back();
-  const std::size_t last_at = bytes.size() - fleet::frame_bytes(last).size();
-  fleet::Memory out;
+  const std::size_t last_at = bytes.size() - coordination::frame_bytes(last).size();
+  coordination::Memory out;
   std::size_t torn = 0;
-  CHECK(fleet::read_journal(bytes, out, torn).empty() && torn == 0);
-  CHECK(fleet::all_bytes(out) == bytes);
+  CHECK(coordination::read_journal(bytes, out, torn).empty() && torn == 0);
+  CHECK(coordination::all_bytes(out) == bytes);
   for (std::size_t n = last_at + 1; n < bytes.size(); ++n) {
-    CHECK(fleet::read_journal(std::string_view(bytes).substr(0, n), out, torn).empty());
+    CHECK(coordination::read_journal(std::string_view(bytes).substr(0, n), out, torn).empty());
     CHECK(torn == n - last_at && out.last() + 1 == whole.last());
   }
   for (std::size_t i = 0; i < last_at; ++i) {
     std::string damaged = bytes;
     damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
-    const std::string why = fleet::read_journal(damaged, out, torn);
+    const std::string why = coordination::read_journal(damaged, out, torn);
     // A length that now reaches past the end cannot be told from a torn write; then no later frame counts
     // either.
     CHECK(!why.empty() || torn > 0);
   }
-  fleet::Memory newer = whole;
-  newer.head.set_version(fleet::kJournalVersion + 1);
-  CHECK(fleet::read_journal(fleet::all_bytes(newer), out, torn).find("version") != std::string::npos);
-  CHECK(!fleet::read_journal(std::string(100, 'x'), out, torn).empty());
-  CHECK(fleet::read_journal("", out, torn).empty() && out.head.fleet().empty());
+  coordination::Memory newer = whole;
+  newer.head.set_version(coordination::kJournalVersion + 1);
+  CHECK(coordination::read_journal(coordination::all_bytes(newer), out, torn).find("version") !=
+        std::string::npos);
+  CHECK(!coordination::read_journal(std::string(100, 'x'), out, torn).empty());
+  CHECK(coordination::read_journal("", out, torn).empty() && out.head.fleet().empty());
 }
 
 // ---- owners
 
 void a_release_that_is_on_its_way_is_never_taken_back() {
-  fleet::LeaseTimes times;
-  fleet::LeaseHolder lease_holder(times, "a");
-  fleet::Table table;
-  fleet::Job* job = table.add_jobs();
+  coordination::LeaseTimes times;
+  coordination::LeaseHolder lease_holder(times, "a");
+  coordination::Table table;
+  coordination::Job* job = table.add_jobs();
   job->set_name("j");
   job->set_owner("a");
   job->set_birth(1);
@@ -250,7 +252,7 @@
   lease_holder.record(table, 1);
   const auto renew = lease_holder.renewal(0);
   CHECK(renew && renew->held_size() == 1);
-  std::vector<fleet::Held> held(renew->held().begin(), renew->held().end());
+  std::vector<coordination::Held> held(renew->held().begin(), renew->held().end());
   lease_holder.renewed(0, held);
   CHECK(lease_holder.proved(times.lease - times.margin() - 1, "j") &&
         !lease_holder.proved(times.lease - times.margin(), "j"));
@@ -282,25 +284,25 @@
   struct Site {
     bool watch = false;
     std::vector<std::string> fed;
-    std::vector<fleet::Effect> sent;
+    std::vector<coordination::Effect> sent;
     std::vector<std::uint32_t> wants;
   } r, f;
   const auto ports = [](Site& s) {
-    fleet::SharedList::Ports p;
+    coordination::SharedList::Ports p;
     p.watch = [&s](bool on) { s.watch = on; };
     p.feed = [&s](std::string_view text) {
       s.fed.emplace_back(text);
       return true;
     };
-    p.publish = [&s](fleet::Effect e) { s.sent.push_back(e); };
-    p.send = [&s](fleet::Effect e, const std::string&) { s.sent.push_back(e); };
+    p.publish = [&s](coordination::Effect e) { s.sent.push_back(e); };
+    p.send = [&s](coordination::Effect e, const std::string&) { s.sent.push_back(e); };
     p.want = [&s](std::uint32_t rev) { s.wants.push_back(rev); };
     return p;
   };
-  fleet::SharedList::Settings set;
-  fleet::SharedList reader(clock, set, ports(r), "d", 1), follower(clock, set, ports(f), "d", 2);
-  using State = fleet::SharedList::State;
-  for (fleet::SharedList* l : {&reader, &follower}) {
+  coordination::SharedList::Settings set;
+  coordination::SharedList reader(clock, set, ports(r), "d", 1), follower(clock, set, ports(f), "d", 2);
+  using State = coordination::SharedList::State;
+  for (coordination::SharedList* l : {&reader, &follower}) {
     l->observe(true);
     l->line(0, 1, "whole");
   }
@@ -321,7 +323,7 @@
   follower.effect(r.sent.back());
   CHECK(f.fed.size() == 3 && f.fed.back() == "four" && follower.state() == State::following);
   // Of another discovery service, or of one that reads no more: neither counts.
-  fleet::Effect other;
+  coordination::Effect other;
   other.set_source("elsewhere");
   other.set_rev(9);
   clock.at += set.silence;
@@ -330,7 +332,7 @@
   follower.tick();
   CHECK(follower.state() == State::alone && f.watch);
   // It begins again only once it holds what the reader holds.
-  fleet::Effect ahead = r.sent.back();
+  coordination::Effect ahead = r.sent.back();
   ahead.clear_lines();
   ahead.set_rev(7);
   follower.effect(ahead);
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -5,18 +5,18 @@
 #include <cstdlib>
 #include <string>
 
-#include "fleet/agent.h"
+#include "coordination/coordination_protocol.h"
+#include "shared/quota_holder.h"
 #include "shared/shared_state.h"
-#include "shared/wallet.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace flintglade;
   const std::string bytes(reinterpret_cast<const char*>(data), size);
-  fleet::Memory memory;
+  coordination::Memory memory;
   std::size_t torn = 0;
-  if (fleet::read_journal(bytes, memory, torn).empty() && torn > size) std::abort();
+  if (coordination::read_journal(bytes, memory, torn).empty() && torn > size) std::abort();
 
-  fleet::AgentSettings set;
+  coordination::AgentSettings set;
   set.peers.fleet = "f";
   set.peers.most_peers = 16;
   set.self = {"a", "north", "10.0.0.1:1", 1000};
@@ -34,14 +34,14 @@
   shared::Wallet wallet(sharing.budgets, {"t"}, 1000, 0);
   shared::SharedState::Ports ports;
   ports.unix_time = [] { return core::Micros{1'700'000'000'000'000}; };
-  ports.parcel = [&](const fleet::Parcel& part) { wallet.parcel(1000, part); };
-  ports.lend = [&](const std::string& who, const fleet::Ask& ask) { wallet.lend(1000, who, ask); };
+  ports.parcel = [&](const coordination::Parcel& part) { wallet.parcel(1000, part); };
+  ports.lend = [&](const std::string& who, const coordination::Ask& ask) { wallet.lend(1000, who, ask); };
   ports.opinions = [](std::vector<shared::Opinion>, std::size_t, std::size_t) {};
   shared::SharedState shared_state(sharing, ports, set.self, 1);
   shared_state.restore(0, bytes);
-  fleet::Agent agent(set, 1);
+  coordination::Agent agent(set, 1);
   agent.start(0);
-  fleet::Packet p;
+  coordination::Packet p;
   if (!p.ParseFromString(bytes)) return 0;
   p.set_fleet("f");
   p.clear_to();
--- a/tests/fuzz/state.cpp
+++ b/tests/fuzz/state.cpp
@@ -1,7 +1,5 @@
 // Whatever stands in the scratch folder as a state: no crash, and nothing that the module could not work
 // with. The head is made to fit, so that what is behind the checksum is reached.
-#include "handover/state.h"
-
 #include <zlib.h>
 
 #include <cmath>
@@ -9,6 +7,8 @@
 #include <cstdlib>
 #include <string>
 
+#include "hot_restart/snapshot.h"
+
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace flintglade;
   std::string bytes("fgst\x01\0\0\0", 8);
@@ -19,7 +19,7 @@
   bytes.append(reinterpret_cast<const char*>(data), size);
   core::Broker::Handed out;
   bool same_list = false;
-  if (!handover::read_state(bytes, {"", "", 10, 0}, 20, out, same_list).empty()) return 0;
+  if (!hot_restart::read_state(bytes, {"", "", 10, 0}, 20, out, same_list).empty()) return 0;
   if (out.learned.waits.size() != out.learned.class_work.size() ||
       out.learned.quota_at.size() != out.learned.quota_tokens.size() || !(out.learned.admit > 0.0))
     std::abort();
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -8,13 +8,13 @@
 #include <limits>
 
 #include "check.h"
-#include "handover/state.h"
+#include "hot_restart/snapshot.h"
 
 namespace {
 
 using namespace flintglade;
 using core::Broker;
-using handover::Origin;
+using hot_restart::Origin;
 
 const Origin kWriter{"n1", "127.0.0.1:8500", 1'000'000, 1'790'000'000'000'000};
 const Origin kReader{"n1", "127.0.0.1:8500", 5'000'000, 1'790'000'000'000'400};
@@ -81,7 +81,7 @@
 std::string read(const std::string& bytes, Broker::Handed& out, const Origin& reader = kReader,
                  core::Micros now = kNow) {
   bool same_list = false;
-  return handover::read_state(bytes, reader, now, out, same_list);
+  return hot_restart::read_state(bytes, reader, now, out, same_list);
 }
 
 void what_is_written_is_read() {
@@ -132,15 +132,15 @@
   CHECK(by([](Origin&, core::Micros&) {}) == "");
   CHECK(by([](Origin& r, core::Micros&) { r.router = "n2"; }) == "it is another router's");
   CHECK(by([](Origin& r, core::Micros&) { r.unix_less_monotonic += 60'000; }) == "its clock is another one");
-  CHECK(by([](Origin& r, core::Micros&) { r.began = kWriter.began; }) == handover::kOurOwn);
-  CHECK(by([](Origin&, core::Micros& now) { now += handover::kStateAge; }) == "it is old");
+  CHECK(by([](Origin& r, core::Micros&) { r.began = kWriter.began; }) == hot_restart::kOurOwn);
+  CHECK(by([](Origin&, core::Micros& now) { now += hot_restart::kStateAge; }) == "it is old");
   CHECK(by([](Origin&, core::Micros& now) { now -= 2000; }) == "it is old");  // of the future
   Broker::Handed h;
   Broker::Handed out;
   bool same_list = true;
   Origin elsewhere = kReader;
   elsewhere.discovery = "127.0.0.1:8501";
-  CHECK(handover::read_state(write_state(h, kWriter, kNow), elsewhere, kNow, out, same_list) == "" &&
+  CHECK(hot_restart::read_state(write_state(h, kWriter, kNow), elsewhere, kNow, out, same_list) == "" &&
         !same_list);
   for (const double wrong : {std::nan(""), std::numeric_limits<double>::infinity(), -1.0, 1e300}) {
     h.learned.admit = wrong;
--- a/tests/measure/daily.cpp
+++ b/tests/measure/daily.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <memory>
 
-#include "admin/figures.h"
+#include "admin/metrics.h"
 #include "core/counters.h"
 
 int main() {
--- a/tests/measure/dns.cpp
+++ b/tests/measure/dns.cpp
@@ -18,7 +18,7 @@
 #include "commands/clock.h"
 #include "dns/client.h"
 #include "dns_server.h"
-#include "membership/sources.h"
+#include "endpoint_sources/endpoint_sources.h"
 
 namespace {
 
@@ -107,12 +107,12 @@
   commands::MonotonicClock clock;
   discovery::Watch watch(io, clock, {}, {}, discovery::BootClock(0));
   deploy::Membership file;
-  std::vector<membership::SourceSpec> specs;
+  std::vector<endpoint_sources::SourceSpec> specs;
   const int each = 500;
   for (int from = 0; from < records; from += each) {
     const std::string name = "z" + std::to_string(from / each);
     server.zone(name, make_zone(from, std::min(each, records - from), 3));
-    membership::SourceSpec spec;
+    endpoint_sources::SourceSpec spec;
     spec.name = name;
     spec.dns_name = "_model._tcp." + name + ".test.";
     specs.push_back(spec);
@@ -120,7 +120,7 @@
   file.mutable_resolver()->add_servers("127.0.0.1:" + std::to_string(server.port()));
   file.mutable_resolver()->set_cache_entries(200000);
   const long before = resident_kb();
-  membership::Sources sources(io, clock, watch, file, specs);
+  endpoint_sources::Sources sources(io, clock, watch, file, specs);
   std::size_t told = 0;
   sources.tell([&told](core::ListNews news) { told += news.entries.size(); });
   sources.start("");
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,7 +1,5 @@
 // The merge of sources against its clauses (docs/membership.md): some by example, the rest by random
 // histories.
-#include "membership/membership.h"
-
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -12,13 +10,14 @@
 #include <set>
 
 #include "check.h"
+#include "endpoint_sources/endpoint_merger.h"
+#include "endpoint_sources/source_settings.h"
 #include "flintglade/policy/balancer.h"
-#include "membership/settings.h"
 
 namespace {
 
 using namespace flintglade;
-using namespace flintglade::membership;
+using namespace flintglade::endpoint_sources;
 using core::kSecond;
 using core::ListNews;
 using flintglade::policy::ListKind;
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -24,7 +24,7 @@
 #include <vector>
 
 #include "flintglade/policy/balancer.h"
-#include "learned.h"
+#include "policy/learned_state.h"
 #include "recording.h"
 
 namespace flintglade::policy {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -2,7 +2,7 @@
 #include <cmath>
 
 #include "bench.h"
-#include "learned.h"
+#include "policy/learned_state.h"
 
 namespace flintglade::policy {
 namespace {
--- a/tests/recordings/frozen_names_test.cpp
+++ b/tests/recordings/frozen_names_test.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <string>
 
-#include "admin/figures.h"
+#include "admin/metrics.h"
 #include "config/config.h"
 
 namespace flintglade::tests {
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -1,8 +1,8 @@
-// A recording of what the state machines of a fleet do: whole simulated fleets (fleet::Agent, fleet::Node,
-// peers::Swim, shared::SharedState, over tests/fleet/sim.h), the merge of endpoint sources
-// (membership::Membership) and what is heard of replicas (shared::Witness, shared::Caution), each fed with a
-// fixed stream of events. Recorded is a hash of all that comes out: each datagram with its time, and each
-// word to a router's jobs; of the others, each answer that they give.
+// A recording of what the state machines of a fleet do: whole simulated fleets (coordination::Agent,
+// coordination::Node, membership::Swim, shared::SharedState, over tests/fleet/sim.h), the merge of endpoint
+// sources (endpoint_sources::Membership) and what is heard of replicas (shared::Witness, shared::Caution),
+// each fed with a fixed stream of events. Recorded is a hash of all that comes out: each datagram with its
+// time, and each word to a router's jobs; of the others, each answer that they give.
 //
 // The values were recorded on the commit before the refactoring for readability. A value may be changed only
 // in a commit that changes behaviour and means to; its message says which and why.
@@ -15,10 +15,10 @@
 #include <string>
 #include <vector>
 
+#include "endpoint_sources/endpoint_merger.h"
 #include "fleet/sim.h"
-#include "membership/membership.h"
 #include "recordings/fnv_hash.h"
-#include "shared/hearsay.h"
+#include "shared/health_gossip.h"
 
 namespace flintglade::tests {
 namespace {
@@ -166,7 +166,7 @@
 
 // ---- the merge of endpoint sources
 
-using membership::Membership;
+using endpoint_sources::Membership;
 
 constexpr int kAddresses = 24;
 constexpr int kEvents = 6000;
@@ -174,15 +174,15 @@
 
 std::string address(std::uint64_t n) { return "10.0.0." + std::to_string(n) + ":8000"; }
 
-membership::SourceSpec list_source() {
-  membership::SourceSpec spec;
+endpoint_sources::SourceSpec list_source() {
+  endpoint_sources::SourceSpec spec;
   spec.name = "list";
   spec.list = true;
   return spec;
 }
 
-membership::SourceSpec dns_source(const std::string& name, std::uint32_t zone) {
-  membership::SourceSpec spec;
+endpoint_sources::SourceSpec dns_source(const std::string& name, std::uint32_t zone) {
+  endpoint_sources::SourceSpec spec;
   spec.name = name;
   spec.dns_name = "_m._tcp." + name + ".";
   spec.zone = zone;
@@ -191,8 +191,8 @@
 }
 
 // A reload keeps the list and takes some of the DNS sources, by the bits of `kept`.
-std::vector<membership::SourceSpec> sources(std::uint64_t kept) {
-  std::vector<membership::SourceSpec> out{list_source()};
+std::vector<endpoint_sources::SourceSpec> sources(std::uint64_t kept) {
+  std::vector<endpoint_sources::SourceSpec> out{list_source()};
   for (std::uint32_t i = 0; i < kDnsSources.size(); ++i) {
     if (((kept >> i) & 1) != 0) out.push_back(dns_source(kDnsSources[i], i));
   }
@@ -239,7 +239,7 @@
   }
 
   void reload() {
-    membership::Settings settings;
+    endpoint_sources::Settings settings;
     settings.guard_part = static_cast<double>(random_.between(2, 9)) / 10.0;
     settings.guard = static_cast<core::Micros>(random_.between(5, 40)) * core::kSecond;
     settings.back_after = static_cast<core::Micros>(random_.between(1, 9)) * core::kSecond;
@@ -285,8 +285,8 @@
     return entry;
   }
 
-  membership::DnsFacts dns_answer() {
-    membership::DnsFacts facts;
+  endpoint_sources::DnsFacts dns_answer() {
+    endpoint_sources::DnsFacts facts;
     if (random_.one_in(15)) return facts;  // names nobody
     const std::uint64_t left_out = random_.one_in(8) ? 2 : 12;
     for (std::uint64_t n = 1; n < kAddresses; n += random_.between(1, 4)) {
@@ -327,7 +327,7 @@
     hash_.add_integer(merge_.answered());
     hash_.add_integer(merge_.all_failed());
     for (const std::string& name : merge_.to_confirm(now_)) hash_.add_text(name);
-    for (const membership::SourceStatus& source : merge_.status(now_)) {
+    for (const endpoint_sources::SourceStatus& source : merge_.status(now_)) {
       hash_.add_text(source.name);
       hash_.add_integer(static_cast<std::uint64_t>(source.age));
       hash_.add_integer(source.names);
@@ -354,7 +354,7 @@
   }
 
   EventRandom random_;
-  Membership merge_{membership::Settings{}, sources(3)};
+  Membership merge_{endpoint_sources::Settings{}, sources(3)};
   core::Micros now_ = 100 * core::kSecond;
   std::uint32_t version_ = 1;
   FnvHash hash_;
@@ -414,12 +414,12 @@
 
   void tell(std::uint64_t router) {
     hash_.add_integer(routers_[router].changed());
-    fleet::Seen seen;
+    coordination::Seen seen;
     seen.set_name("r" + std::to_string(router));
     seen.set_birth(1);
     seen.set_site(router % 2 == 0 ? "north" : "south");
     seen.set_version(++version_);
-    for (const fleet::Case& word : routers_[router].cases(now_)) {
+    for (const coordination::Case& word : routers_[router].cases(now_)) {
       *seen.add_cases() = word;
       hash_.add_text(word.SerializeAsString());
     }
@@ -444,7 +444,7 @@
   EventRandom random_;
   shared::Settings settings_ = settings();
   std::vector<shared::Witness> routers_;
-  shared::Heard<fleet::Seen> heard_{kRouters};
+  shared::Heard<coordination::Seen> heard_{kRouters};
   std::set<core::ReplicaId> ready_;
   core::Micros now_ = 100 * core::kSecond;
   std::uint64_t version_ = 0;
--- a/tests/recordings/proto_numbers_test.cpp
+++ b/tests/recordings/proto_numbers_test.cpp
@@ -1,7 +1,7 @@
 // The fields of every message that leaves a process or stays on a disk, by number, type and label, against
-// tests/data/proto_fields.txt. In fleet.proto and handover.proto a message or field may be renamed: there a
-// message is told by its position in the file, and names are not recorded. In operator.proto (operators write
-// its names) and kserve_v2.proto (a protocol that others define) names are recorded too.
+// tests/data/proto_fields.txt. In coordination.proto and hot_restart.proto a message or field may be renamed:
+// there a message is told by its position in the file, and names are not recorded. In operator.proto
+// (operators write its names) and kserve_v2.proto (a protocol that others define) names are recorded too.
 //
 // The file was recorded on the commit before the refactoring for readability. A line may be changed or
 // removed only with a change of the format that is meant; a new field adds a line.
@@ -13,8 +13,8 @@
 #include <sstream>
 #include <string>
 
-#include "fleet.pb.h"
-#include "handover.pb.h"
+#include "coordination.pb.h"
+#include "hot_restart.pb.h"
 #include "kserve_v2.pb.h"
 #include "operator.pb.h"
 
@@ -99,8 +99,8 @@
 };
 
 std::string all_fields() {
-  return Lines(Names::free).of_file(flintglade::fleet::Packet::descriptor()->file()) +
-         Lines(Names::free).of_file(flintglade::handover::State::descriptor()->file()) +
+  return Lines(Names::free).of_file(flintglade::coordination::Packet::descriptor()->file()) +
+         Lines(Names::free).of_file(flintglade::hot_restart::State::descriptor()->file()) +
          Lines(Names::frozen).of_file(inference::ModelInferRequest::descriptor()->file()) +
          Lines(Names::frozen).of_file(flintglade::deploy::OperatorFile::descriptor()->file());
 }
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -8,9 +8,9 @@
 #include <filesystem>
 
 #include "config/labels.h"
-#include "fleet/agent.h"
-#include "fleet/disk.h"
-#include "handover/seats.h"
+#include "coordination/coordination_protocol.h"
+#include "coordination/raft_storage.h"
+#include "hot_restart/process_slots.h"
 #include "recordings/stored_samples.h"
 
 namespace flintglade::tests {
@@ -127,12 +127,13 @@
 }
 
 TEST_F(StoredData, StateSnapshotIsRead) {
-  handover::Origin reader = state_writer();
+  hot_restart::Origin reader = state_writer();
   reader.began = 5 * core::kSecond;
   core::Broker::Handed read;
   bool same_list = false;
   ASSERT_EQ(
-      handover::read_state(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli, read, same_list), "");
+      hot_restart::read_state(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli, read, same_list),
+      "");
   EXPECT_TRUE(same_list);
   const core::Broker::Handed sample = sample_state();
   EXPECT_EQ(read.version, sample.version);
@@ -148,12 +149,12 @@
 }
 
 TEST_F(StoredData, StateSnapshotNamesItsWriter) {
-  const auto refusal = [](const handover::Origin& reader, core::Micros now) {
+  const auto refusal = [](const hot_restart::Origin& reader, core::Micros now) {
     core::Broker::Handed read;
     bool same_list = false;
-    return handover::read_state(fixture(kStateFile), reader, now, read, same_list);
+    return hot_restart::read_state(fixture(kStateFile), reader, now, read, same_list);
   };
-  handover::Origin reader = state_writer();
+  hot_restart::Origin reader = state_writer();
   EXPECT_NE(refusal(reader, kStateWrittenAt), "");  // no younger than its writer
   reader.began += 1;
   EXPECT_EQ(refusal(reader, kStateWrittenAt), "");
@@ -169,17 +170,17 @@
 }
 
 TEST_F(StoredData, StateSnapshotIsWrittenAsBefore) {
-  EXPECT_EQ(handover::write_state(sample_state(), state_writer(), kStateWrittenAt), fixture(kStateFile));
+  EXPECT_EQ(hot_restart::write_state(sample_state(), state_writer(), kStateWrittenAt), fixture(kStateFile));
 }
 
 // ---- a voter's file
 
 TEST_F(StoredData, VoterRecordIsRead) {
   put(kVoterFile, "/record.log");
-  fleet::Disk disk;
-  fleet::Memory read;
+  coordination::Disk disk;
+  coordination::Memory read;
   ASSERT_EQ(disk.open(folder_, read), "");
-  const fleet::Memory sample = sample_voter_memory();
+  const coordination::Memory sample = sample_voter_memory();
   EXPECT_EQ(read.head.fleet(), kVoterFleet);
   EXPECT_EQ(read.head.id(), kVoterId);
   EXPECT_EQ(read.head.version(), 1u);
@@ -196,15 +197,15 @@
 
 TEST_F(StoredData, VoterRecordHoldsTheAgreedTable) {
   put(kVoterFile, "/record.log");
-  fleet::Disk disk;
-  fleet::Memory memory;
+  coordination::Disk disk;
+  coordination::Memory memory;
   ASSERT_EQ(disk.open(folder_, memory), "");
-  fleet::AgentSettings settings;
+  coordination::AgentSettings settings;
   settings.peers.fleet = kVoterFleet;
   settings.self = {"r2", "north", "10.0.0.2:7000", 2000};
-  fleet::Agent agent(settings, 1);
+  coordination::Agent agent(settings, 1);
   ASSERT_EQ(agent.vote(std::move(memory), disk), "");
-  const fleet::Table& table = agent.table();
+  const coordination::Table& table = agent.table();
   EXPECT_EQ(table.last_number(), 2u);
   ASSERT_EQ(table.jobs_size(), 2);
   EXPECT_EQ(table.jobs(0).name(), "bank");
@@ -230,7 +231,7 @@
 
 // ---- the counts that a router keeps
 
-void expect_count(const fleet::Count& count, const std::string& team, const std::string& request_class,
+void expect_count(const coordination::Count& count, const std::string& team, const std::string& request_class,
                   const std::vector<std::uint64_t>& numbers) {
   EXPECT_EQ(count.team(), team);
   EXPECT_EQ(count.klass(), request_class);
@@ -309,15 +310,15 @@
 // The two that wrote it are gone, so their slots are free; who joins goes on counting where they were.
 TEST_F(StoredData, ProcessSlotsAreTakenOver) {
   put(kProcessSlotsFile, kSlotsName);
-  handover::Seats first, second;
+  hot_restart::Seats first, second;
   ASSERT_EQ(first.join(folder_, kSlotsRouter), "");
-  first.publish({handover::Stage::serving, 33, 2048, 0, 0});
+  first.publish({hot_restart::Stage::serving, 33, 2048, 0, 0});
   ASSERT_EQ(second.join(folder_, kSlotsRouter), "");
   EXPECT_EQ(first.seat(), 0u);
   EXPECT_EQ(second.seat(), 1u);
-  const std::vector<handover::Use> seen = second.others();
+  const std::vector<hot_restart::Use> seen = second.others();
   ASSERT_EQ(seen.size(), 1u);
-  EXPECT_EQ(seen[0].stage, handover::Stage::serving);
+  EXPECT_EQ(seen[0].stage, hot_restart::Stage::serving);
   EXPECT_EQ(seen[0].sockets, 33u);
   EXPECT_EQ(seen[0].bodies, 2048u);
   EXPECT_EQ(seen[0].seat, 0u);
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -4,9 +4,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "fleet/disk.h"
-#include "fleet/node.h"
-#include "handover/seats.h"
+#include "coordination/raft_node.h"
+#include "coordination/raft_storage.h"
+#include "hot_restart/process_slots.h"
 
 namespace flintglade::tests {
 
@@ -98,8 +98,8 @@
 
 }  // namespace
 
-const handover::Origin& state_writer() {
-  static const handover::Origin writer{"n1", "127.0.0.1:8500", 1'000'000, 1'790'000'000'000'000};
+const hot_restart::Origin& state_writer() {
+  static const hot_restart::Origin writer{"n1", "127.0.0.1:8500", 1'000'000, 1'790'000'000'000'000};
   return writer;
 }
 
@@ -129,8 +129,8 @@
 // (1).
 constexpr std::ptrdiff_t kEncodedVoters = 1 + 8 + 3 * (8 + 14 + 1);
 
-std::vector<fleet::Voter> voters() {
-  std::vector<fleet::Voter> out(3);
+std::vector<coordination::Voter> voters() {
+  std::vector<coordination::Voter> out(3);
   for (std::uint64_t id = 1; id <= out.size(); ++id) {
     out[id - 1].set_id(id);
     out[id - 1].set_at("10.0.0." + std::to_string(id) + ":7000");
@@ -138,38 +138,38 @@
   }
   return out;
 }
-fleet::Command grant(const std::string& job, const std::string& owner, std::uint64_t birth,
-                     std::uint64_t seen) {
-  fleet::Command out;
+coordination::Command grant(const std::string& job, const std::string& owner, std::uint64_t birth,
+                            std::uint64_t seen) {
+  coordination::Command out;
   out.mutable_grant()->set_job(job);
   out.mutable_grant()->set_owner(owner);
   out.mutable_grant()->set_birth(birth);
   out.mutable_grant()->set_seen(seen);
   return out;
 }
-fleet::Command renew() {
-  fleet::Command out;
+coordination::Command renew() {
+  coordination::Command out;
   out.mutable_renew()->set_owner("r1");
   out.mutable_renew()->set_birth(1001);
   out.mutable_renew()->add_held()->set_job("bank");
   out.mutable_renew()->mutable_held(0)->set_number(1);
   return out;
 }
-fleet::Command release() {
-  fleet::Command out;
+coordination::Command release() {
+  coordination::Command out;
   out.mutable_release()->set_job("list-north");
   out.mutable_release()->set_number(2);
   return out;
 }
-fleet::Command move() {
-  fleet::Command out;
+coordination::Command move() {
+  coordination::Command out;
   out.mutable_move()->set_job("bank");
   out.mutable_move()->set_to("r3");
   return out;
 }
-fleet::Command draw() {
-  fleet::Command out;
-  fleet::Draw& d = *out.mutable_draw();
+coordination::Command draw() {
+  coordination::Command out;
+  coordination::Draw& d = *out.mutable_draw();
   d.set_job("bank");
   d.set_number(1);
   d.set_serial(5);
@@ -179,38 +179,38 @@
   d.set_whole(1'000'000);
   return out;
 }
-fleet::Frame vote(std::uint64_t term, std::uint64_t voted_for) {
-  fleet::Frame out;
+coordination::Frame vote(std::uint64_t term, std::uint64_t voted_for) {
+  coordination::Frame out;
   out.mutable_vote()->set_term(term);
   out.mutable_vote()->set_voted_for(voted_for);
   return out;
 }
-fleet::Frame entry(std::uint64_t index, std::uint64_t term, const fleet::Command& command) {
-  fleet::Frame out;
+coordination::Frame entry(std::uint64_t index, std::uint64_t term, const coordination::Command& command) {
+  coordination::Frame out;
   out.mutable_entry()->set_index(index);
   out.mutable_entry()->set_term(term);
   out.mutable_entry()->set_type(RAFT_COMMAND);
   out.mutable_entry()->set_data(command.SerializeAsString());
   return out;
 }
-fleet::Frame truncate(std::uint64_t index) {
-  fleet::Frame out;
+coordination::Frame truncate(std::uint64_t index) {
+  coordination::Frame out;
   out.set_truncate(index);
   return out;
 }
 // Of the entries to index 4, with two kept before it.
-fleet::Frame snapshot() {
-  fleet::Jobs jobs;
+coordination::Frame snapshot() {
+  coordination::Jobs jobs;
   jobs.apply(grant("bank", "r1", 1001, 0));
   jobs.apply(grant("list-north", "r2", 1002, 0));
   jobs.apply(draw());
-  fleet::Frame out;
-  fleet::Snapshot& s = *out.mutable_snapshot();
+  coordination::Frame out;
+  coordination::Snapshot& s = *out.mutable_snapshot();
   s.set_index(4);
   s.set_term(3);
   s.set_conf_index(1);
-  for (const fleet::Voter& v : voters()) {
-    fleet::Server& server = *s.add_servers();
+  for (const coordination::Voter& v : voters()) {
+    coordination::Server& server = *s.add_servers();
     server.set_id(v.id());
     server.set_at(v.at());
     server.set_role(RAFT_VOTER);
@@ -219,7 +219,7 @@
   s.set_first_kept(3);
   return out;
 }
-std::vector<fleet::Frame> appended_frames() {
+std::vector<coordination::Frame> appended_frames() {
   return {vote(2, 1),          entry(2, 2, grant("bank", "r1", 1001, 0)),
           entry(3, 2, move()), vote(3, kVoterId),
           truncate(3),         entry(3, 3, grant("list-north", "r2", 1002, 0)),
@@ -230,8 +230,8 @@
 
 }  // namespace
 
-fleet::Memory sample_voter_memory() {
-  fleet::Memory out;
+coordination::Memory sample_voter_memory() {
+  coordination::Memory out;
   out.head.set_fleet(kVoterFleet);
   out.head.set_id(kVoterId);
   out.head.set_version(1);
@@ -239,24 +239,25 @@
   out.has_snapshot = true;
   out.snapshot = snapshot().snapshot();
   out.first = 3;
-  for (const fleet::Frame& frame : {entry(3, 3, grant("list-north", "r2", 1002, 0)), entry(4, 3, draw()),
-                                    entry(5, 3, renew()), entry(6, 3, release()), entry(7, 3, move())})
+  for (const coordination::Frame& frame :
+       {entry(3, 3, grant("list-north", "r2", 1002, 0)), entry(4, 3, draw()), entry(5, 3, renew()),
+        entry(6, 3, release()), entry(7, 3, move())})
     out.entries.push_back(frame.entry());
   return out;
 }
 
 std::string write_voter_record(const std::string& directory) {
-  fleet::Memory first = fleet::Node::first_memory(kVoterFleet, kVoterId, voters());
+  coordination::Memory first = coordination::Node::first_memory(kVoterFleet, kVoterId, voters());
   // The library fills the voters' list up to a multiple of eight bytes, with whatever was in its memory.
   std::string& encoded = *first.entries.front().mutable_data();
   std::fill(encoded.begin() + kEncodedVoters, encoded.end(), '\0');
-  std::string why = fleet::Disk::create(directory, first);
+  std::string why = coordination::Disk::create(directory, first);
   if (!why.empty()) return why;
-  fleet::Disk disk;
-  fleet::Memory memory;
+  coordination::Disk disk;
+  coordination::Memory memory;
   why = disk.open(directory, memory);
-  for (const fleet::Frame& frame : appended_frames()) {
-    if (why.empty()) why = disk.append(fleet::frame_bytes(frame));
+  for (const coordination::Frame& frame : appended_frames()) {
+    if (why.empty()) why = disk.append(coordination::frame_bytes(frame));
   }
   return why;
 }
@@ -265,9 +266,9 @@
 
 namespace {
 
-fleet::Count count(std::uint64_t served, std::uint64_t refused, std::uint64_t failed, std::uint64_t tokens,
-                   std::uint64_t worth) {
-  fleet::Count out;
+coordination::Count count(std::uint64_t served, std::uint64_t refused, std::uint64_t failed,
+                          std::uint64_t tokens, std::uint64_t worth) {
+  coordination::Count out;
   out.set_served(served);
   out.set_refused(refused);
   out.set_failed(failed);
@@ -279,7 +280,7 @@
 }  // namespace
 
 shared::SharedState sharing_router(const std::string& name, const std::string& site, std::uint64_t birth) {
-  peers::Self self;
+  membership::Self self;
   self.name = name;
   self.site = site;
   self.at = "10.0.0.1:7000";
@@ -305,11 +306,11 @@
 // ---- the processes' slots
 
 std::string write_process_slots(const std::string& folder) {
-  handover::Seats first, second;
+  hot_restart::Seats first, second;
   if (!first.join(folder, kSlotsRouter).empty()) return "";
-  first.publish({handover::Stage::draining, 812, 700'000, 0, 0});
+  first.publish({hot_restart::Stage::draining, 812, 700'000, 0, 0});
   if (!second.join(folder, kSlotsRouter).empty()) return "";
-  second.publish({handover::Stage::serving, 120, 4096, 0, 0});
+  second.publish({hot_restart::Stage::serving, 120, 4096, 0, 0});
   return file_contents(folder + kSlotsName);
 }
 
--- a/tests/recordings/stored_samples.h
+++ b/tests/recordings/stored_samples.h
@@ -4,9 +4,9 @@
 
 #include <string>
 
+#include "coordination/raft_log.h"
 #include "core/broker.h"
-#include "fleet/journal.h"
-#include "handover/state.h"
+#include "hot_restart/snapshot.h"
 #include "shared/shared_state.h"
 
 namespace flintglade::tests {
@@ -18,7 +18,7 @@
 
 // ---- the state snapshot that one process leaves for the next
 
-const handover::Origin& state_writer();
+const hot_restart::Origin& state_writer();
 inline constexpr core::Micros kStateWrittenAt = 5'999'000;
 core::Broker::Handed sample_state();
 
@@ -27,7 +27,7 @@
 inline constexpr char kVoterFleet[] = "glasshouse";
 inline constexpr std::uint64_t kVoterId = 2;
 // What the file holds once it is read.
-fleet::Memory sample_voter_memory();
+coordination::Memory sample_voter_memory();
 // Makes record.log in this directory, as a voter does: its head, then vote, entries, a truncation, a snapshot
 // and one more entry are appended. Empty, or what failed.
 std::string write_voter_record(const std::string& directory);
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -12,18 +12,18 @@
 #include <functional>
 #include <map>
 
-#include "admin/figures.h"
+#include "admin/metrics.h"
 #include "check.h"
 #include "config/config.h"
 #include "config/labels.h"
 #include "core/broker.h"
 #include "core_stand_ins.h"
 #include "discovery/entries.h"
-#include "handover/parts.h"
-#include "http/crowd.h"
-#include "http/front.h"
+#include "hot_restart/limit_partition.h"
+#include "http/connection_eviction.h"
+#include "http/replica_client.h"
+#include "http/server.h"
 #include "http/sse.h"
-#include "http/subchannels.h"
 #include "kserve/check.h"
 #include "kserve/descriptions.h"
 #include "kserve/mapping.h"
@@ -769,12 +769,12 @@
 
 // Whatever two or three processes hold, what each may hold on top keeps the sum within the whole.
 void processes_of_one_router_share_one_budget() {
-  using handover::Part;
-  using handover::Stage;
-  using handover::Use;
+  using hot_restart::Part;
+  using hot_restart::Stage;
+  using hot_restart::Use;
   const Part whole{384, 1000};
   const Stage stages[] = {Stage::starting, Stage::serving, Stage::draining};
-  CHECK(handover::part(whole, {Stage::serving, 100, 0}, {}).sockets == 384 - handover::kStart);
+  CHECK(hot_restart::part(whole, {Stage::serving, 100, 0}, {}).sockets == 384 - hot_restart::kStart);
   for (const Stage own : stages) {
     for (const Stage other : stages) {
       for (std::size_t held = 0; held <= 400; held += 8) {
@@ -783,7 +783,7 @@
         for (const auto& others : {std::span<const Use>(two, 1), std::span<const Use>(two, 2)}) {
           std::size_t sockets = 0, bodies = 0;
           for (const Use& o : others) sockets += o.sockets, bodies += o.bodies;
-          const Part mine = handover::part(whole, a, others);
+          const Part mine = hot_restart::part(whole, a, others);
           CHECK(mine.sockets == 0 || mine.sockets + sockets <= whole.sockets);
           CHECK(mine.bodies == 0 || mine.bodies + bodies <= whole.bodies);
           if (own == Stage::serving && other == Stage::starting) CHECK(mine.sockets <= whole.sockets / 2);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator_adapter/wire.h"
 
 #include <gtest/gtest.h>
 
