--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -153,7 +153,7 @@
   std::vector<float> report;
 };
 
-struct Learned;  // src/policy/learned_state.h
+struct LearnedState;  // src/policy/learned_state.h
 
 class ActionSink {
  public:
@@ -193,8 +193,8 @@
   // had learned, which goes before all that this one has: picks, admission and budgets go on from there. Both
   // need the same settings and clock. Replicas that no list has named yet are learned nothing of but their
   // slots.
-  Learned learned() const;
-  void adopt(double now, Learned from, ActionSink& sink);
+  LearnedState learned() const;
+  void adopt(double now, LearnedState from, ActionSink& sink);
 
  private:
   class Impl;
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string render(const Figures& f) {
+std::string render(const Metrics& f) {
   std::vector<MetricFamily> families;
   MetricFamily responses{"app_responses", "Requests that got their final answer.", MetricType::Counter, {}};
   for (std::size_t i = 0; i < f.classes.size() && i < f.counters->answers.size(); ++i) {
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -9,7 +9,7 @@
 
 namespace flintglade::admin {
 
-struct Figures {
+struct Metrics {
   const core::Counters* counters = nullptr;  // borrowed for the call
   std::vector<std::string> classes;          // names, in the order of the counters' answers
   std::size_t active = 0;                    // requests taken and not yet ended
@@ -18,6 +18,6 @@
 };
 
 // Counters start at 0 with the process; gauges are of this moment.
-std::string render(const Figures& figures);
+std::string render(const Metrics& figures);
 
 }  // namespace flintglade::admin
--- a/src/commands/fleet.cpp
+++ b/src/commands/fleet.cpp
@@ -257,8 +257,8 @@
   }
   if (id == 0) return diagnose(options.file + ": fleet: " + options.router + " is none of the voters");
   if (options.join) voters.clear();
-  why = coordination::Disk::create(file.fleet().directory(),
-                                   coordination::Node::first_memory(file.fleet().name(), id, voters));
+  why = coordination::FileRaftStorage::create(
+      file.fleet().directory(), coordination::RaftNode::first_memory(file.fleet().name(), id, voters));
   if (!why.empty()) return diagnose(why);
   std::printf("%s: voter %llu of %s\n", file.fleet().directory().c_str(), static_cast<unsigned long long>(id),
               file.fleet().name().c_str());
--- a/src/commands/fleet_member.cpp
+++ b/src/commands/fleet_member.cpp
@@ -15,9 +15,10 @@
 
 std::string job_of(const std::string& site) { return "list-reader@" + site; }
 
-coordination::Member::Settings settings(const deploy::Fleet& file, const config::Config& config) {
-  coordination::Member::Settings out;
-  coordination::AgentSettings& a = out.agent;
+coordination::CoordinationRuntime::Settings settings(const deploy::Fleet& file,
+                                                     const config::Config& config) {
+  coordination::CoordinationRuntime::Settings out;
+  coordination::CoordinationSettings& a = out.agent;
   a.peers.fleet = file.name();
   a.peers.period = micros(file.has_period_s(), file.period_s(), a.peers.period);
   a.peers.timeout = micros(file.has_probe_timeout_s(), file.probe_timeout_s(), a.peers.timeout);
@@ -42,7 +43,7 @@
     if (a.self.at.empty()) a.self.at = v.at();
   }
   for (const std::string& site : file.list_readers()) a.wanted.push_back({job_of(site), site});
-  if (!file.shared().budgets().empty()) a.wanted.push_back({shared::kBankJob, ""});
+  if (!file.shared().budgets().empty()) a.wanted.push_back({shared::kQuotaAllocatorLease, ""});
   config::parse_host_port(file.listen(), out.listen);
   out.directory = file.directory();
   out.seed = config.seed;
@@ -59,18 +60,20 @@
       job_(job_of(file.site())),
       site_(file.site()),
       set_(settings(file, config)),
-      shares_(file.has_shared() ? std::make_unique<Shares>(io, clock, file, config, set_.agent.self)
-                                : nullptr),
+      shares_(file.has_shared()
+                  ? std::make_unique<SharedStateBridge>(io, clock, file, config, set_.agent.self)
+                  : nullptr),
       alarm_(io),
-      member_(
-          (set_.companion = shares_ ? shares_->companion() : nullptr, set_),
-          [this](const coordination::Agent::Word& w) { boost::asio::post(io_, [this, w] { take(w); }); }) {
+      member_((set_.companion = shares_ ? shares_->companion() : nullptr, set_),
+              [this](const coordination::CoordinationProtocol::Word& w) {
+                boost::asio::post(io_, [this, w] { take(w); });
+              }) {
   if (std::find(file.list_readers().begin(), file.list_readers().end(), site_) == file.list_readers().end())
     return;
-  coordination::SharedList::Settings set;
+  coordination::SharedEndpointList::Settings set;
   set.silence = micros(file.has_list_silence_s(), file.list_silence_s(), set.silence);
   set.spread = set.silence / 2;
-  coordination::SharedList::Ports ports;
+  coordination::SharedEndpointList::Ports ports;
   ports.watch = [this](bool on) { watch_.observe(on); };
   ports.feed = [this](std::string_view text) { return watch_.feed(text); };
   ports.publish = [this](coordination::Effect e) {
@@ -114,9 +117,9 @@
   member_.leave([] {});
 }
 
-void FleetMember::take(const coordination::Agent::Word& w) {
+void FleetMember::take(const coordination::CoordinationProtocol::Word& w) {
   if (!shared_ || w.job != job_) return;
-  using What = coordination::Agent::Word::What;
+  using What = coordination::CoordinationProtocol::Word::What;
   switch (w.what) {
     case What::starts:
     case What::stops:
--- a/src/commands/fleet_member.h
+++ b/src/commands/fleet_member.h
@@ -1,5 +1,5 @@
 // This router's part in its fleet: wires the member's thread, its jobs and the core together. Who does what
-// is decided by coordination::Agent and coordination::SharedList.
+// is decided by coordination::Agent and coordination::SharedEndpointList.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -33,18 +33,18 @@
   void leave();
 
  private:
-  void take(const coordination::Agent::Word& word);
+  void take(const coordination::CoordinationProtocol::Word& word);
   void arm();
 
   boost::asio::io_context& io_;
   core::Clock& clock_;
   discovery::Watch& watch_;
   const std::string job_, site_;
-  std::optional<coordination::SharedList> shared_;
-  coordination::Member::Settings set_;
-  std::unique_ptr<Shares> shares_;
+  std::optional<coordination::SharedEndpointList> shared_;
+  coordination::CoordinationRuntime::Settings set_;
+  std::unique_ptr<SharedStateBridge> shares_;
   boost::asio::steady_timer alarm_;
-  coordination::Member member_;  // last: its thread ends before what it posts to
+  coordination::CoordinationRuntime member_;  // last: its thread ends before what it posts to
 };
 
 }  // namespace flintglade::commands
--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -11,7 +11,7 @@
 
 namespace flintglade::commands {
 
-using hot_restart::Passage;
+using hot_restart::DescriptorPassing;
 using hot_restart::Stage;
 using log::Level;
 
@@ -20,36 +20,39 @@
 constexpr std::chrono::milliseconds kMoveEvery{10};
 }  // namespace
 
-Handoff::Handoff(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker,
-                 http::HttpFront& front, http::HttpSubchannels& replicas, hot_restart::Seats& seats,
-                 const config::Config& config)
+HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, core::Clock& clock,
+                                             core::Broker& broker, http::HttpServer& front,
+                                             http::HttpReplicaClient& replicas,
+                                             hot_restart::ProcessSlots& seats, const config::Config& config)
     : clock_(clock),
       broker_(broker),
       front_(front),
-      seats_(seats),
+      process_slots_(seats),
       folder_(config.scratch),
       origin_{config.name, "", clock.now(), -unix_to_monotonic(clock)},
-      moves_(broker, front, replicas),
-      passage_(io),
-      shelf_(io, config.scratch, seats.seat()),
+      stream_migration_(broker, front, replicas),
+      descriptor_passing_(io),
+      snapshot_file_(io, config.scratch, seats.seat()),
       again_(io),
       changes_(io) {
   discovery(config.discovery);
 }
 
-void Handoff::start() {
-  const std::string why = passage_.open(
-      folder_, seats_.seat(),
-      [this](std::string_view bytes, Passage::Descriptors descriptors) { moves_.in(bytes, descriptors); });
+void HotRestartCoordinator::start() {
+  const std::string why =
+      descriptor_passing_.open(folder_, process_slots_.seat(),
+                               [this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
+                                 stream_migration_.in(bytes, descriptors);
+                               });
   if (!why.empty())
     log::event(Level::warn, "no_passage", {{"why", why}, {"answers", "end where they began"}});
-  if (seats_.changes() < 0) return;
-  changes_.assign(::dup(seats_.changes()));
+  if (process_slots_.changes() < 0) return;
+  changes_.assign(::dup(process_slots_.changes()));
   watch();
   take_state();
 }
 
-void Handoff::watch() {
+void HotRestartCoordinator::watch() {
   changes_.async_read_some(boost::asio::buffer(events_), [this](boost::system::error_code ec, std::size_t n) {
     if (ec) return;
     seats_changed(n);
@@ -57,11 +60,11 @@
   });
 }
 
-void Handoff::seats_changed(std::size_t bytes) {
+void HotRestartCoordinator::seats_changed(std::size_t bytes) {
   front_.look();
-  const auto others = seats_.others();
-  if (others.empty()) return shelf_.clear();
-  if (hot_restart::Seats::moved(events_.data(), bytes, hot_restart::Shelf::kName)) take_state();
+  const auto others = process_slots_.others();
+  if (others.empty()) return snapshot_file_.clear();
+  if (hot_restart::ProcessSlots::moved(events_.data(), bytes, hot_restart::SnapshotFile::kName)) take_state();
   // Once for each: the file's own coming wakes us too.
   std::uint64_t newest = 0;
   for (const hot_restart::Use& o : others) {
@@ -73,19 +76,20 @@
   }
 }
 
-void Handoff::leave_state() {
-  shelf_.save(hot_restart::write_state(broker_.hand(), origin_, clock_.now()), [](const std::string& why) {
-    if (!why.empty()) log::event(Level::warn, "state_not_left", {{"why", why}});
-  });
+void HotRestartCoordinator::leave_state() {
+  snapshot_file_.save(hot_restart::encode_snapshot(broker_.hand(), origin_, clock_.now()),
+                      [](const std::string& why) {
+                        if (!why.empty()) log::event(Level::warn, "state_not_left", {{"why", why}});
+                      });
 }
 
-void Handoff::take_state() {
-  shelf_.load(hot_restart::kMostState, [this](const std::string& bytes) {
+void HotRestartCoordinator::take_state() {
+  snapshot_file_.load(hot_restart::kMaxSnapshotBytes, [this](const std::string& bytes) {
     if (bytes.empty() || broker_.phase() == core::Phase::draining) return;
     core::Broker::Handed state;
     bool same_list = false;
-    const std::string why = hot_restart::read_state(bytes, origin_, clock_.now(), state, same_list);
-    if (why == hot_restart::kOurOwn) return;
+    const std::string why = hot_restart::decode_snapshot(bytes, origin_, clock_.now(), state, same_list);
+    if (why == hot_restart::kWriterNotOlder) return;
     if (!why.empty()) return log::event(Level::warn, "state_refused", {{"why", why}});
     log::event(Level::info, "state_taken",
                {{"bytes", bytes.size()},
@@ -97,36 +101,36 @@
   });
 }
 
-bool Handoff::hand_over() {
-  for (const hot_restart::Use& o : seats_.others()) {
-    if (o.stage == Stage::serving) heir_ = o.seat;
+bool HotRestartCoordinator::hand_over() {
+  for (const hot_restart::Use& o : process_slots_.others()) {
+    if (o.stage == Stage::serving) successor_ = o.seat;
   }
-  if (!heir_) {
-    log::event(Level::info, "no_heir", {{"others", seats_.others().size()}, {"answers", "end here"}});
+  if (!successor_) {
+    log::event(Level::info, "no_heir", {{"others", process_slots_.others().size()}, {"answers", "end here"}});
     return false;
   }
-  log::event(Level::info, "heir", {{"seat", *heir_}});
+  log::event(Level::info, "heir", {{"seat", *successor_}});
   leave_state();
   keep_moving();
   return true;
 }
 
-void Handoff::keep_moving() {
+void HotRestartCoordinator::keep_moving() {
   again_.expires_after(kMoveEvery);
   again_.async_wait([this](boost::system::error_code ec) {
-    if (!ec && heir_) keep_moving();
+    if (!ec && successor_) keep_moving();
   });
 }
 
-void Handoff::idle() {
-  if (!heir_) return;
-  moves_.out([this](std::string_view bytes, Passage::Descriptors descriptors) {
-    const Passage::Sent sent = Passage::send(folder_, *heir_, bytes, descriptors);
-    if (sent == Passage::Sent::never) {
-      log::event(Level::warn, "heir_lost", {{"seat", *heir_}, {"answers", "end here"}});
-      heir_.reset();
+void HotRestartCoordinator::idle() {
+  if (!successor_) return;
+  stream_migration_.out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
+    const DescriptorPassing::Sent sent = DescriptorPassing::send(folder_, *successor_, bytes, descriptors);
+    if (sent == DescriptorPassing::Sent::never) {
+      log::event(Level::warn, "heir_lost", {{"seat", *successor_}, {"answers", "end here"}});
+      successor_.reset();
     }
-    return sent == Passage::Sent::yes;
+    return sent == DescriptorPassing::Sent::yes;
   });
 }
 
--- a/src/commands/hot_restart_coordinator.h
+++ b/src/commands/hot_restart_coordinator.h
@@ -19,11 +19,12 @@
 
 namespace flintglade::commands {
 
-class Handoff {
+class HotRestartCoordinator {
  public:
   // For a process that has a seat.
-  Handoff(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker, http::HttpFront& front,
-          http::HttpSubchannels& replicas, hot_restart::Seats& seats, const config::Config& config);
+  HotRestartCoordinator(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker,
+                        http::HttpServer& front, http::HttpReplicaClient& replicas,
+                        hot_restart::ProcessSlots& seats, const config::Config& config);
 
   void start();
   // SIGTERM: what is known and the answers that run go to the process that serves from now on. False: there
@@ -42,15 +43,15 @@
 
   core::Clock& clock_;
   core::Broker& broker_;
-  http::HttpFront& front_;
-  hot_restart::Seats& seats_;
+  http::HttpServer& front_;
+  hot_restart::ProcessSlots& process_slots_;
   const std::string folder_;
   hot_restart::Origin origin_;
-  http::Moves moves_;
-  hot_restart::Passage passage_;
-  hot_restart::Shelf shelf_;
-  std::uint64_t left_for_ = 0;       // the newest of those that start and have been left what we know
-  std::optional<std::size_t> heir_;  // the seat of the process that gets our answers
+  http::StreamMigration stream_migration_;
+  hot_restart::DescriptorPassing descriptor_passing_;
+  hot_restart::SnapshotFile snapshot_file_;
+  std::uint64_t left_for_ = 0;            // the newest of those that start and have been left what we know
+  std::optional<std::size_t> successor_;  // the seat of the process that gets our answers
   boost::asio::steady_timer again_;
   boost::asio::posix::stream_descriptor changes_;
   std::array<char, 4096> events_{};
--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -13,16 +13,16 @@
 namespace flintglade::commands {
 namespace {
 
-using endpoint_sources::Sources;
+using endpoint_sources::EndpointSources;
 
 // Answered or failed, each of them.
-bool all_heard(const Sources& sources) {
+bool all_heard(const EndpointSources& sources) {
   const auto all = sources.membership().status(0);
   return std::all_of(all.begin(), all.end(),
                      [](const endpoint_sources::SourceStatus& s) { return s.answers + s.failures > 0; });
 }
 
-std::string ttl_left(const Sources& sources, const std::vector<endpoint_sources::SourceSpec>& specs,
+std::string ttl_left(const EndpointSources& sources, const std::vector<endpoint_sources::SourceSpec>& specs,
                      const std::string& address, core::Micros now) {
   core::Micros left = -1;
   for (const auto& spec : specs) {
@@ -63,7 +63,7 @@
   MonotonicClock clock;
   discovery::Watch watch(io, clock, config.discovery, {config.zones, config.kinds},
                          discovery::BootClock(unix_to_monotonic(clock)));
-  Sources sources(io, clock, watch, file.membership(), specs);
+  EndpointSources sources(io, clock, watch, file.membership(), specs);
   sources.tell([](core::ListNews) {});
   sources.start(config.known);
   const auto end =
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -165,12 +165,12 @@
           endpoint_sources::resolver_settings(file.membership().resolver()).outstanding *
               file.has_membership() +
           admin::Server::kDescriptors * !config.admin.host.empty() + kFleetDescriptors * file.has_fleet());
-  http::HttpFront* front = nullptr;
-  const http::HttpSubchannels* replicas = nullptr;
+  http::HttpServer* front = nullptr;
+  const http::HttpReplicaClient* replicas = nullptr;
   const core::Broker* core = nullptr;
   // Processes that share the clients' socket share the router's limits as well.
   const hot_restart::Part whole{config.sockets, (config.memory_mb << 20) / 4};
-  hot_restart::Seats seats;
+  hot_restart::ProcessSlots seats;
   if (config.accept_fd >= 0) {
     const std::string why = seats.join(config.scratch, config.name);
     if (!why.empty()) log::event(Level::warn, "no_seat", {{"why", why}, {"limits", "as if alone"}});
@@ -185,7 +185,7 @@
     return out;
   };
   const auto mine = [&] {
-    if (!seats.seated()) return whole;
+    if (!seats.has_slot()) return whole;
     const hot_restart::Use now = use();
     seats.publish(now);
     return hot_restart::part(whole, now, seats.others());
@@ -207,9 +207,9 @@
   if (!config.module.resume) settings.stall = kLongestGap;
   settings.drain_limit = std::min(settings.drain_limit, longest(config.module) + 400 * core::kMilli);
   settings.body_budget = whole.bodies;
-  std::unique_ptr<endpoint_sources::Sources> sources;
+  std::unique_ptr<endpoint_sources::EndpointSources> sources;
   if (file.has_membership())
-    sources = std::make_unique<endpoint_sources::Sources>(io, clock, watch, file.membership(), specs);
+    sources = std::make_unique<endpoint_sources::EndpointSources>(io, clock, watch, file.membership(), specs);
   std::optional<FleetMember> fleet_member;
   if (file.has_fleet()) fleet_member.emplace(io, clock, watch, file.fleet(), config);
   core::ReplicaList& list = sources        ? static_cast<core::ReplicaList&>(*sources)
@@ -225,27 +225,27 @@
     watch.tell(told);
   }
 
-  http::SubchannelSettings http_settings;
+  http::ReplicaClientSettings http_settings;
   http_settings.dial_timeout = config.dial_timeout;
   http_settings.conn_idle = config.conn_idle;
   http_settings.room = [&front, shared, replica_part] {
     const std::size_t all = shared();
     return std::max(replica_part(all), all - std::min(all, front->connections()));
   };
-  http::HttpSubchannels http_subchannels(io, broker, clock, http_settings);
+  http::HttpReplicaClient http_subchannels(io, broker, clock, http_settings);
   replicas = &http_subchannels;
   broker.attach(core::Wire::http, http_subchannels);
   const auto client_room = [&http_subchannels, shared, replica_part] {
     const std::size_t all = shared(), calls = http_subchannels.connections();
     return all - std::min(all, std::max(replica_part(all), calls + calls / 8 + 6));
   };
-  http::HttpFront http_front(io, broker, clock, {labels(config), client_room, reserved / 2});
+  http::HttpServer http_front(io, broker, clock, {labels(config), client_room, reserved / 2});
   front = &http_front;
   http_front.on_exhausted([&http_subchannels] { return http_subchannels.shed_idle(); });
   // One inherited socket may have two processes at it: one that starts leaves its queue to the one that
   // serves.
   const auto open = [&broker, &seats] {
-    return broker.phase() != core::Phase::starting || (seats.seated() && seats.others().empty());
+    return broker.phase() != core::Phase::starting || (seats.has_slot() && seats.others().empty());
   };
   error =
       config.accept_fd >= 0 ? http_front.listen(config.accept_fd, open) : http_front.listen(config.listen);
@@ -289,22 +289,22 @@
       replica_keys = std::make_unique<tls::CertificateProvider>(io, "replicas");
     use_keys(file.kserve(), std::move(keys), true, true);
   }
-  std::unique_ptr<kserve::GrpcSubchannels> grpc_subchannels;
-  std::unique_ptr<kserve::GrpcFront> grpc_front;
+  std::unique_ptr<kserve::GrpcReplicaClient> grpc_subchannels;
+  std::unique_ptr<kserve::GrpcServer> grpc_front;
   if (file.has_kserve()) {
-    const kserve::FrontSettings kserve_front = kserve::front_settings(file.kserve());
-    grpc_subchannels = std::make_unique<kserve::GrpcSubchannels>(
+    const kserve::ServerSettings kserve_front = kserve::front_settings(file.kserve());
+    grpc_subchannels = std::make_unique<kserve::GrpcReplicaClient>(
         io, broker, clock,
-        kserve::SubchannelSettings{config.dial_timeout, kserve_front.replica_port,
-                                   static_cast<Micros>(kserve_front.limits.replica_ping_s * 1e6),
-                                   replica_keys.get(), file.kserve().replica_tls().server_name()});
+        kserve::ReplicaClientSettings{config.dial_timeout, kserve_front.replica_port,
+                                      static_cast<Micros>(kserve_front.limits.replica_ping_s * 1e6),
+                                      replica_keys.get(), file.kserve().replica_tls().server_name()});
     if (replica_keys) replica_keys->on_change([&grpc_subchannels] { grpc_subchannels->renew(); });
     broker.attach(core::Wire::kserve, *grpc_subchannels);
-    grpc_front = std::make_unique<kserve::GrpcFront>(io, broker, kserve_front, labels(config), config.name,
-                                                     front_keys.get());
+    grpc_front = std::make_unique<kserve::GrpcServer>(io, broker, kserve_front, labels(config), config.name,
+                                                      front_keys.get());
     if (kserve_front.replica_metadata.on) {
       grpc_front->ask_replicas(clock, [&grpc_subchannels](std::string method, std::string question,
-                                                          kserve::GrpcFront::Answered answered) {
+                                                          kserve::GrpcServer::Answered answered) {
         grpc_subchannels->ask(std::move(method), std::move(question), std::move(answered));
       });
     }
@@ -333,8 +333,8 @@
     replay.start([&broker] { broker.drain(); });
   }
 
-  std::optional<Handoff> handoff;
-  if (seats.seated()) handoff.emplace(io, clock, broker, http_front, http_subchannels, seats, config);
+  std::optional<HotRestartCoordinator> handoff;
+  if (seats.has_slot()) handoff.emplace(io, clock, broker, http_front, http_subchannels, seats, config);
 
   const auto print_counters = [&] {
     std::vector<log::Field> fields{{"phase", core::to_string(broker.phase())}};
@@ -438,7 +438,7 @@
   run(
       io, broker,
       [&](bool idle) {
-        if (seats.seated()) broker.body_budget(mine().bodies);  // and the others see what this process uses
+        if (seats.has_slot()) broker.body_budget(mine().bodies);  // and the others see what this process uses
         if (idle && handoff) handoff->idle();
         if (broker.phase() != core::Phase::draining) return;
         broker.expecting(http_front.half_read());
--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -70,16 +70,16 @@
 
 }  // namespace
 
-Shares::Shares(asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
-               const config::Config& config, const membership::Self& self)
+SharedStateBridge::SharedStateBridge(asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
+                                     const config::Config& config, const membership::Self& self)
     : io_(io),
       clock_(clock),
       config_(config),
       set_(settings(file)),
       snapshot_(file.shared().snapshot()),
-      wallet_(set_.budgets, config.tenants, self.birth, coordination::Member::now()),
-      witness_(set_),
-      caution_(set_),
+      quota_holder_(set_.budgets, config.tenants, self.birth, coordination::CoordinationRuntime::now()),
+      health_observer_(set_),
+      ejection_policy_(set_),
       counts_((config.tenants.size() + 1) * std::max<std::size_t>(1, config.classes.size())),
       alarm_(io) {
   for (const auto& b : set_.budgets) {
@@ -90,18 +90,19 @@
   shared::SharedState::Ports ports;
   ports.unix_time = unix_now;
   ports.parcel = [this](const coordination::Parcel& p) {
-    asio::post(io_, [this, p] { wallet_.parcel(wallet_time(clock_.now()), p); });
+    asio::post(io_, [this, p] { quota_holder_.parcel(wallet_time(clock_.now()), p); });
   };
   ports.lend = [this](const std::string& who, const coordination::Ask& ask) {
     asio::post(io_, [this, who, ask] {
-      const auto parcel = wallet_.lend(wallet_time(clock_.now()), who, ask);
+      const auto parcel = quota_holder_.lend(wallet_time(clock_.now()), who, ask);
       if (!parcel || member_ == nullptr) return;
-      member_->with_agent([this, who, p = *parcel](Micros now, coordination::Agent& agent) {
+      member_->with_protocol([this, who, p = *parcel](Micros now, coordination::CoordinationProtocol& agent) {
         shared_state_->lent(now, agent, who, p);
       });
     });
   };
-  ports.opinions = [this](std::vector<shared::Opinion> opinions, std::size_t routers, std::size_t sites) {
+  ports.opinions = [this](std::vector<shared::ReplicaHealthSummary> opinions, std::size_t routers,
+                          std::size_t sites) {
     asio::post(io_, [this, opinions = std::move(opinions), routers, sites]() mutable {
       heard(std::move(opinions), routers, sites);
     });
@@ -110,17 +111,17 @@
       std::make_unique<shared::SharedState>(set_, std::move(ports), self, config.seed ^ self.birth);
 }
 
-void Shares::restore() {
+void SharedStateBridge::restore() {
   if (snapshot_.empty()) return;
   const std::string bytes = contents(snapshot_);
   const std::string why = bytes.size() > kLargestSnapshot
                               ? "it is too large"
-                              : shared_state_->restore(coordination::Member::now(), bytes);
+                              : shared_state_->restore(coordination::CoordinationRuntime::now(), bytes);
   if (!why.empty())
     log::event(Level::warn, "counts_refused", {{"file", snapshot_}, {"why", why}, {"starts", "without"}});
 }
 
-void Shares::start(coordination::Member& member, core::Broker& core) {
+void SharedStateBridge::start(coordination::CoordinationRuntime& member, core::Broker& core) {
   member_ = &member;
   core_ = &core;
   for (const std::string& team : unknown_)
@@ -131,24 +132,24 @@
 
 // ---- the serving path
 
-Shares::Word Shares::arrived(Micros now, const core::RpcRequest& rpc) {
+SharedStateBridge::Word SharedStateBridge::arrived(Micros now, const core::RpcRequest& rpc) {
   const auto tokens = static_cast<shared::Amount>((rpc.prompt_tokens + rpc.output_cap) * shared::kOne);
-  const shared::Wallet::Spent spent =
-      wallet_.spend(wallet_time(now), rpc.tenant, std::min(tokens, shared::kMostAmount));
+  const shared::QuotaHolder::Spent spent =
+      quota_holder_.spend(wallet_time(now), rpc.tenant, std::min(tokens, shared::kMostAmount));
   switch (spent.verdict) {
-    case shared::Wallet::Verdict::unlimited:
+    case shared::QuotaHolder::Verdict::unlimited:
       return {};
-    case shared::Wallet::Verdict::within:
+    case shared::QuotaHolder::Verdict::within:
       return {Standing::within, 0};
-    case shared::Wallet::Verdict::last:
+    case shared::QuotaHolder::Verdict::last:
       return {Standing::over, 0};
-    case shared::Wallet::Verdict::refused:
+    case shared::QuotaHolder::Verdict::refused:
       break;
   }
   return {Standing::refused, spent.again};
 }
 
-void Shares::answered(const core::RpcRequest& rpc, End how) {
+void SharedStateBridge::answered(const core::RpcRequest& rpc, End how) {
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   const std::size_t team = std::min<std::size_t>(rpc.tenant, config_.tenants.size());
   const std::size_t klass = std::min<std::size_t>(rpc.klass, classes - 1);
@@ -163,8 +164,8 @@
 
 // ---- between the two threads
 
-shared::Ledger::Counts Shares::counts() const {
-  shared::Ledger::Counts out;
+shared::ReplicatedCounter::Counts SharedStateBridge::counts() const {
+  shared::ReplicatedCounter::Counts out;
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   for (std::size_t i = 0; i < counts_.size(); ++i) {
     const coordination::Count& c = counts_[i];
@@ -176,32 +177,32 @@
   return out;
 }
 
-void Shares::ask(Micros now) {
-  auto questions = wallet_.questions(wallet_time(now));
-  auto returns = wallet_.returns();
+void SharedStateBridge::ask(Micros now) {
+  auto questions = quota_holder_.questions(wallet_time(now));
+  auto returns = quota_holder_.returns();
   if (questions.empty() && returns.empty()) return;
-  member_->with_agent([this, questions = std::move(questions), returns = std::move(returns)](
-                          Micros t, coordination::Agent& agent) {
+  member_->with_protocol([this, questions = std::move(questions), returns = std::move(returns)](
+                             Micros t, coordination::CoordinationProtocol& agent) {
     for (const auto& q : questions) shared_state_->ask(t, agent, q.ask, q.to_peer);
     for (const auto& r : returns) shared_state_->give_back(t, agent, r);
   });
 }
 
-void Shares::tell(Micros now) {
+void SharedStateBridge::tell(Micros now) {
   const bool save_now = !snapshot_.empty() && now >= next_save_;
   if (save_now) next_save_ = now + kSaveEvery;
   next_tell_ = now + set_.seal;
   coordination::SharedStatus status;
-  wallet_.status(wallet_time(now), status);
-  member_->with_agent(
-      [this, counts = counts(), status, avoided = avoided_, save_now](Micros t, coordination::Agent&) {
-        shared_state_->counted(t, counts);
-        shared_state_->core_says(status, avoided);
-        if (save_now) save(shared_state_->snapshot(t));
-      });
+  quota_holder_.status(wallet_time(now), status);
+  member_->with_protocol([this, counts = counts(), status, avoided = avoided_, save_now](
+                             Micros t, coordination::CoordinationProtocol&) {
+    shared_state_->counted(t, counts);
+    shared_state_->core_says(status, avoided);
+    if (save_now) save(shared_state_->snapshot(t));
+  });
 }
 
-void Shares::save(std::string bytes) {
+void SharedStateBridge::save(std::string bytes) {
   // A disk may be slow, and the member's thread renews leases.
   asio::post(disk_, [path = snapshot_, bytes = std::move(bytes)] {
     const std::string draft = path + ".draft";
@@ -217,19 +218,20 @@
   });
 }
 
-void Shares::look() {
+void SharedStateBridge::look() {
   const Micros now = clock_.now();
-  slept_ = coordination::Member::now() - now;
+  slept_ = coordination::CoordinationRuntime::now() - now;
   ask(now);
   if (now >= next_tell_) tell(now);
   if (set_.hearsay) {
-    const bool changed = witness_.changed();
+    const bool changed = health_observer_.changed();
     if (changed || (had_cases_ && now >= next_seen_)) {
-      auto cases = witness_.cases(now);
+      auto cases = health_observer_.cases(now);
       next_seen_ = now + kSeenAgain;
       had_cases_ = !cases.empty();
-      member_->with_agent(
-          [this, cases = std::move(cases)](Micros t, coordination::Agent&) { shared_state_->saw(t, cases); });
+      member_->with_protocol([this, cases = std::move(cases)](Micros t, coordination::CoordinationProtocol&) {
+        shared_state_->saw(t, cases);
+      });
     }
   }
   alarm_.expires_after(kLook);
@@ -238,11 +240,12 @@
   });
 }
 
-void Shares::heard(std::vector<shared::Opinion> opinions, std::size_t routers, std::size_t sites) {
+void SharedStateBridge::heard(std::vector<shared::ReplicaHealthSummary> opinions, std::size_t routers,
+                              std::size_t sites) {
   const auto ready = core_->ready_replicas();
   std::set<core::ReplicaId> avoided;
-  for (const auto& w :
-       caution_.act(clock_.now(), opinions, {ready.begin(), ready.end()}, witness_, routers, sites)) {
+  for (const auto& w : ejection_policy_.act(clock_.now(), opinions, {ready.begin(), ready.end()},
+                                            health_observer_, routers, sites)) {
     core_->warned(w.replica, w.span);
     avoided.insert(w.replica);
     if (avoided_.count(w.replica) == 0)
@@ -251,8 +254,8 @@
   avoided_ = std::move(avoided);
 }
 
-void Shares::leave() {
-  wallet_.give_back_all();
+void SharedStateBridge::leave() {
+  quota_holder_.give_back_all();
   ask(clock_.now());
   tell(clock_.now());
   alarm_.cancel();
--- a/src/commands/shared_state_bridge.h
+++ b/src/commands/shared_state_bridge.h
@@ -19,21 +19,23 @@
 
 using core::Micros;
 
-class Shares final : public core::Sharing {
+class SharedStateBridge final : public core::Sharing {
  public:
   // self: as the member tells the others. member, core and log are borrowed and outlive it.
-  Shares(boost::asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
-         const config::Config& config, const membership::Self& self);
+  SharedStateBridge(boost::asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
+                    const config::Config& config, const membership::Self& self);
   coordination::Companion* companion() { return shared_state_.get(); }
   void restore();  // what a process before this one has left; before the member starts
-  void start(coordination::Member& member, core::Broker& core);
+  void start(coordination::CoordinationRuntime& member, core::Broker& core);
   void leave();  // what is left of parts of stocks goes back, and the counts are told once more
 
   Word arrived(Micros now, const core::RpcRequest& rpc) override;
   void answered(const core::RpcRequest& rpc, End how) override;
-  void first_event(Micros now, core::ReplicaId replica) override { witness_.first_event(now, replica); }
+  void first_event(Micros now, core::ReplicaId replica) override {
+    health_observer_.first_event(now, replica);
+  }
   void call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) override {
-    witness_.call_ended(now, replica, outcome);
+    health_observer_.call_ended(now, replica, outcome);
   }
   // Which budgets of the file are of no tenant that the settings name.
   const std::vector<std::string>& unknown_teams() const { return unknown_; }
@@ -44,18 +46,18 @@
   Micros wallet_time(Micros now) const { return now + slept_; }
   void ask(Micros now);
   void tell(Micros now);
-  void heard(std::vector<shared::Opinion> opinions, std::size_t routers, std::size_t sites);
+  void heard(std::vector<shared::ReplicaHealthSummary> opinions, std::size_t routers, std::size_t sites);
   void save(std::string bytes);
-  shared::Ledger::Counts counts() const;
+  shared::ReplicatedCounter::Counts counts() const;
 
   boost::asio::io_context& io_;
   core::Clock& clock_;
   const config::Config& config_;
   shared::Settings set_;
   std::string snapshot_;
-  shared::Wallet wallet_;
-  shared::Witness witness_;
-  shared::Caution caution_;
+  shared::QuotaHolder quota_holder_;
+  shared::HealthObserver health_observer_;
+  shared::EjectionPolicy ejection_policy_;
   std::vector<coordination::Count> counts_;  // by team and class; the last team is none
   std::vector<std::string> unknown_;
   boost::asio::steady_timer alarm_;
@@ -64,7 +66,7 @@
   bool had_cases_ = false;
   std::set<core::ReplicaId> avoided_;  // by hearsay
   core::Broker* core_ = nullptr;
-  coordination::Member* member_ = nullptr;
+  coordination::CoordinationRuntime* member_ = nullptr;
   std::unique_ptr<shared::SharedState> shared_state_;
   boost::asio::thread_pool disk_{1};
 };
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Agent::Agent(AgentSettings settings, std::uint64_t seed)
+CoordinationProtocol::CoordinationProtocol(CoordinationSettings settings, std::uint64_t seed)
     : set_(std::move(settings)),
       random_(seed),
       swim_(set_.peers, set_.self, seed),
@@ -28,8 +28,8 @@
   }
 }
 
-std::string Agent::vote(Memory memory, Storage& storage) {
-  node_ = std::make_unique<Node>(
+std::string CoordinationProtocol::vote(PersistentState memory, RaftStorage& storage) {
+  node_ = std::make_unique<RaftNode>(
       set_.self.at, std::move(memory), storage, set_.node, random_(),
       [this](const std::string& at, const Raft& message) {
         Packet p = swim_.packet("");
@@ -53,11 +53,12 @@
   return node_->start(0);
 }
 
-void Agent::event(std::string name, std::vector<std::pair<std::string, std::string>> fields, bool warning) {
+void CoordinationProtocol::event(std::string name, std::vector<std::pair<std::string, std::string>> fields,
+                                 bool warning) {
   events_.push_back({std::move(name), std::move(fields), warning});
 }
 
-void Agent::start(Micros now) {
+void CoordinationProtocol::start(Micros now) {
   now_ = now;
   swim_.start(now);
   next_read_ = now + std::uniform_int_distribution<Micros>(0, set_.read_every)(random_);
@@ -65,14 +66,14 @@
   settle(now);
 }
 
-Micros Agent::next() const {
+Micros CoordinationProtocol::next() const {
   Micros at = std::min(swim_.next(), lease_holder_.next());
   if (node_) at = std::min({at, node_->next(), lease_manager_.next()});
   if (!votes()) at = std::min(at, next_read_);
   return at;
 }
 
-void Agent::tick(Micros now) {
+void CoordinationProtocol::tick(Micros now) {
   now_ = now;
   swim_.tick(now);
   if (node_ && now >= node_->next()) node_->tick(now);
@@ -80,7 +81,7 @@
 }
 
 // What follows from the new state of all parts, in one order.
-void Agent::settle(Micros now) {
+void CoordinationProtocol::settle(Micros now) {
   for (const membership::Peer& p : swim_.changed()) {
     static constexpr const char* kNames[] = {"peer_alive", "peer_suspect", "peer_dead", "peer_left"};
     event(kNames[p.standing],
@@ -168,7 +169,7 @@
 // ---- requests to the voters
 
 // The leader, if one is known; else the voters by turns.
-std::string Agent::voter_at(Micros) {
+std::string CoordinationProtocol::voter_at(Micros) {
   if (!leader_at_.empty() && leader_at_ != set_.self.at) return leader_at_;
   for (std::size_t i = 0; i < voters_.size(); ++i) {
     const Voter& v = voters_[voter_turn_++ % voters_.size()];
@@ -177,7 +178,7 @@
   return "";
 }
 
-void Agent::ask(Micros now, const Command& command) {
+void CoordinationProtocol::ask(Micros now, const Command& command) {
   if (node_ && node_->leads()) {
     goes_in(now, command);
     node_->propose(
@@ -201,7 +202,7 @@
   send(at, p);
 }
 
-void Agent::answered(Micros now, const Reply& reply) {
+void CoordinationProtocol::answered(Micros now, const Reply& reply) {
   const auto it = asked_.find(reply.number());
   if (it == asked_.end()) return;
   const Asked asked = it->second;
@@ -215,7 +216,7 @@
     lease_holder_.renewed(asked.sent, std::vector<Held>(reply.held().begin(), reply.held().end()));
 }
 
-void Agent::answer(Micros now, const std::string& to, const Request& request) {
+void CoordinationProtocol::answer(Micros now, const std::string& to, const Request& request) {
   const auto reply = [this, to, number = request.number()](bool done, const std::string& why,
                                                            const Applied& applied) {
     Packet p = swim_.packet("");
@@ -250,14 +251,14 @@
 }
 
 // What goes into the log counts already for what is decided next.
-void Agent::goes_in(Micros now, const Command& command) {
+void CoordinationProtocol::goes_in(Micros now, const Command& command) {
   for (const Held& h : node_->jobs().still(command.renew()))
     lease_manager_.renewed(now, command.renew().owner(), h);
 }
 
 // ---- the record
 
-Record Agent::record(std::uint64_t known) const {
+Record CoordinationProtocol::record(std::uint64_t known) const {
   Record r;
   r.set_revision(table().revision());
   if (table().revision() > known) *r.mutable_table() = table();
@@ -266,7 +267,7 @@
   return r;
 }
 
-void Agent::push(const std::string& router) {
+void CoordinationProtocol::push(const std::string& router) {
   if (router == set_.self.name) return;
   const auto it = swim_.others().find(router);
   if (it == swim_.others().end()) return;
@@ -275,7 +276,7 @@
   send(it->second.at, p);
 }
 
-void Agent::take_record(Micros now, const Record& r) {
+void CoordinationProtocol::take_record(Micros now, const Record& r) {
   if (votes()) return;  // a voter has its own
   heard_voter_ = now;
   leader_at_ = r.leader_at();
@@ -285,11 +286,11 @@
 
 // ---- datagrams
 
-void Agent::send(const std::string& at, const Packet& p) {
+void CoordinationProtocol::send(const std::string& at, const Packet& p) {
   if (!at.empty()) out_.push_back({at, p.SerializeAsString()});
 }
 
-std::vector<membership::Datagram> Agent::take() {
+std::vector<membership::Datagram> CoordinationProtocol::take() {
   std::vector<membership::Datagram> out = swim_.take();
   if (out.empty()) return std::exchange(out_, {});
   std::move(out_.begin(), out_.end(), std::back_inserter(out));
@@ -297,7 +298,7 @@
   return out;
 }
 
-void Agent::receive(Micros now, const std::string& from, std::string_view bytes) {
+void CoordinationProtocol::receive(Micros now, const std::string& from, std::string_view bytes) {
   now_ = now;
   Packet p;
   const bool ours = p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) &&
@@ -367,7 +368,7 @@
   settle(now);
 }
 
-bool Agent::effect(Micros now, Effect effect, const std::string& site, const std::string& to) {
+bool CoordinationProtocol::effect(Micros now, Effect effect, const std::string& site, const std::string& to) {
   if (!lease_holder_.proved(now, effect.job())) {
     ++effects_unproved_;
     return false;
@@ -394,7 +395,7 @@
   return true;
 }
 
-const membership::Peer* Agent::owner(const std::string& job) const {
+const membership::Peer* CoordinationProtocol::owner(const std::string& job) const {
   for (const Job& j : table().jobs()) {
     if (j.name() != job || j.owner().empty()) continue;
     const auto it = swim_.others().find(j.owner());
@@ -403,7 +404,7 @@
   return nullptr;
 }
 
-void Agent::want(Micros, const std::string& job, std::uint32_t rev) {
+void CoordinationProtocol::want(Micros, const std::string& job, std::uint32_t rev) {
   const membership::Peer* to = owner(job);
   if (to == nullptr) return;
   Packet p = swim_.packet(to->name);
@@ -412,14 +413,14 @@
   send(to->at, p);
 }
 
-void Agent::share(const std::string& name, const std::string& at, const Share& share) {
+void CoordinationProtocol::share(const std::string& name, const std::string& at, const Share& share) {
   if (displaced_) return;
   Packet p = swim_.packet(name);
   *p.mutable_share() = share;
   send(at, p);
 }
 
-void Agent::draw(Micros now, const Draw& draw) {
+void CoordinationProtocol::draw(Micros now, const Draw& draw) {
   Command c;
   *c.mutable_draw() = draw;
   ask(now, c);
@@ -427,7 +428,7 @@
 
 // ---- the end, and what is told
 
-void Agent::leave(Micros now) {
+void CoordinationProtocol::leave(Micros now) {
   if (leaving_ >= 0) return;
   now_ = now;
   leaving_ = now;
@@ -436,20 +437,20 @@
   swim_.leave(now);
 }
 
-bool Agent::left(Micros now) const {
+bool CoordinationProtocol::left(Micros now) const {
   if (leaving_ < 0) return false;
   if (now - leaving_ > kMostLeaving) return true;
   return free_of_jobs() && !(handing_ && node_->leads());
 }
 
-bool Agent::free_of_jobs() const {
+bool CoordinationProtocol::free_of_jobs() const {
   for (const Job& j : table().jobs()) {
     if (j.owner() == set_.self.name && j.birth() == swim_.self().birth) return false;
   }
   return true;
 }
 
-Status Agent::status(Micros now) const {
+Status CoordinationProtocol::status(Micros now) const {
   Status s;
   s.set_name(set_.self.name);
   s.set_site(set_.self.site);
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -28,11 +28,11 @@
   std::string at;
 };
 
-struct AgentSettings {
+struct CoordinationSettings {
   membership::Settings peers;
   membership::Self self;
   LeaseTimes lease;
-  NodeTimes node;
+  RaftTimes node;
   std::vector<VoterAt> voters;  // by the file; the record may have changed them since
   std::vector<Wanted> wanted;
   Micros read_every = 500 * core::kMilli;  // the record, by who is no voter
@@ -46,7 +46,7 @@
   bool warning = false;
 };
 
-class Agent {
+class CoordinationProtocol {
  public:
   // What comes out for the jobs of this router.
   struct Word {
@@ -61,12 +61,12 @@
     std::uint64_t birth = 0;
   };
 
-  Agent(AgentSettings settings, std::uint64_t seed);
-  ~Agent() { node_.reset(); }  // what it had under way is answered, and that needs the rest
-  Agent(const Agent&) = delete;
-  Agent& operator=(const Agent&) = delete;
+  CoordinationProtocol(CoordinationSettings settings, std::uint64_t seed);
+  ~CoordinationProtocol() { node_.reset(); }  // what it had under way is answered, and that needs the rest
+  CoordinationProtocol(const CoordinationProtocol&) = delete;
+  CoordinationProtocol& operator=(const CoordinationProtocol&) = delete;
   // This router votes: memory is what its storage holds. Before start.
-  std::string vote(Memory memory, Storage& storage);
+  std::string vote(PersistentState memory, RaftStorage& storage);
 
   void start(Micros now);
   void receive(Micros now, const std::string& from, std::string_view bytes);
@@ -92,9 +92,9 @@
   std::vector<Word> words() { return std::exchange(words_, {}); }
 
   const membership::Swim& peers() const { return swim_; }
-  const Node* node() const { return node_.get(); }
+  const RaftNode* node() const { return node_.get(); }
   const Table& table() const { return votes() ? node_->jobs().table() : table_; }
-  const Fence& fence() const { return fence_; }
+  const FencingTokens& fence() const { return fence_; }
   bool proved(Micros now, const std::string& job) const { return lease_holder_.proved(now, job); }
   // Who owns it by the record; null: nobody, or a router that this one does not know.
   const membership::Peer* owner(const std::string& job) const;
@@ -122,13 +122,13 @@
   void push(const std::string& router);
   std::string voter_at(Micros now);
 
-  AgentSettings set_;
+  CoordinationSettings set_;
   std::mt19937_64 random_;
   membership::Swim swim_;
-  std::unique_ptr<Node> node_;
+  std::unique_ptr<RaftNode> node_;
   LeaseManager lease_manager_;
   LeaseHolder lease_holder_;
-  Fence fence_;
+  FencingTokens fence_;
   Table table_;  // by what voters said, where this router is none
   std::vector<Voter> voters_;
   std::string leader_at_;
@@ -148,10 +148,11 @@
 class Companion {
  public:
   virtual ~Companion() = default;
-  virtual void receive(Micros now, Agent& agent, const Agent::Word& word) = 0;  // a share, or a job's turn
-  virtual void tick(Micros now, Agent& agent) = 0;
+  virtual void receive(Micros now, CoordinationProtocol& agent,
+                       const CoordinationProtocol::Word& word) = 0;  // a share, or a job's turn
+  virtual void tick(Micros now, CoordinationProtocol& agent) = 0;
   virtual Micros next() const = 0;
-  virtual void status(Micros now, const Agent& agent, Status& out) const = 0;
+  virtual void status(Micros now, const CoordinationProtocol& agent, Status& out) const = 0;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/coordination_runtime.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -40,13 +40,13 @@
 
 }  // namespace
 
-Micros Member::now() {
+Micros CoordinationRuntime::now() {
   timespec t{};
   ::clock_gettime(CLOCK_BOOTTIME, &t);
   return static_cast<Micros>(t.tv_sec) * core::kSecond + t.tv_nsec / 1000;
 }
 
-Member::Member(Settings settings, OnWord on_word)
+CoordinationRuntime::CoordinationRuntime(Settings settings, OnWord on_word)
     : set_(std::move(settings)),
       on_word_(std::move(on_word)),
       work_(io_.get_executor()),
@@ -55,12 +55,12 @@
       again_(io_),
       buffer_(kLargest, '\0') {}
 
-Member::~Member() {
+CoordinationRuntime::~CoordinationRuntime() {
   asio::post(io_, [this] { io_.stop(); });
   if (thread_.joinable()) thread_.join();
 }
 
-void Member::start() {
+void CoordinationRuntime::start() {
   // What comes may be no message at all: it is counted, and needs no line of the library's own for each.
   google::protobuf::SetLogHandler(nullptr);
   thread_ = std::thread([this] {
@@ -70,7 +70,7 @@
 }
 
 // The address first: who has it is the process of this name that takes part.
-bool Member::open() {
+bool CoordinationRuntime::open() {
   error_code ec;
   const auto address = asio::ip::make_address(set_.listen.host, ec);
   const udp::endpoint at(address, static_cast<unsigned short>(set_.listen.port));
@@ -91,7 +91,7 @@
   }
   const unsigned short port = socket_.local_endpoint().port();
   if (set_.agent.self.at.empty()) set_.agent.self.at = config::host_port(set_.listen.host, port);
-  agent_ = std::make_unique<Agent>(set_.agent, set_.seed);
+  agent_ = std::make_unique<CoordinationProtocol>(set_.agent, set_.seed);
   if (set_.voter_id != 0) {
     const std::string why = vote();
     if (why.empty()) {
@@ -111,9 +111,9 @@
   return true;
 }
 
-std::string Member::vote() {
-  disk_ = std::make_unique<Disk>();
-  Memory memory;
+std::string CoordinationRuntime::vote() {
+  disk_ = std::make_unique<FileRaftStorage>();
+  PersistentState memory;
   std::string why = disk_->open(set_.directory, memory);
   if (why.empty() && memory.head.fleet().empty())
     why = set_.directory + " holds no record: 'flintglade fleet init'";
@@ -124,13 +124,13 @@
   if (why.empty()) why = agent_->vote(std::move(memory), *disk_);
   if (!why.empty()) {
     // Nothing of it takes part: the router follows the others.
-    agent_ = std::make_unique<Agent>(set_.agent, set_.seed);
+    agent_ = std::make_unique<CoordinationProtocol>(set_.agent, set_.seed);
     disk_.reset();
   }
   return why;
 }
 
-void Member::wait() {
+void CoordinationRuntime::wait() {
   socket_.async_wait(udp::socket::wait_read, [this](error_code ec) {
     if (ec) return;
     read();
@@ -138,7 +138,7 @@
   });
 }
 
-void Member::read() {
+void CoordinationRuntime::read() {
   for (int i = 0; i < kMostATurn; ++i) {
     udp::endpoint from;
     error_code ec;
@@ -152,14 +152,14 @@
   turn();
 }
 
-void Member::turn() {
+void CoordinationRuntime::turn() {
   if (!agent_) return;
   for (const Event& e : agent_->events()) write(e);
   // What the companion does can bring words of its own: what it is told of a job's turn, once more.
   for (int i = 0; i < 2; ++i) {
-    for (const Agent::Word& w : agent_->words()) {
+    for (const CoordinationProtocol::Word& w : agent_->words()) {
       if (set_.companion != nullptr) set_.companion->receive(now(), *agent_, w);
-      if (w.what != Agent::Word::What::share) on_word_(w);
+      if (w.what != CoordinationProtocol::Word::What::share) on_word_(w);
     }
     if (set_.companion != nullptr && now() >= set_.companion->next()) set_.companion->tick(now(), *agent_);
   }
@@ -176,7 +176,7 @@
   arm();
 }
 
-void Member::arm() {
+void CoordinationRuntime::arm() {
   Micros at = agent_->next();
   if (set_.companion != nullptr) at = std::min(at, set_.companion->next());
   const Micros t = now();
@@ -190,7 +190,7 @@
   });
 }
 
-void Member::leave(std::function<void()> done) {
+void CoordinationRuntime::leave(std::function<void()> done) {
   asio::post(io_, [this, done = std::move(done)] {
     if (!agent_) {
       left_ = [] {};
@@ -202,7 +202,7 @@
   });
 }
 
-void Member::effect(Effect effect, std::string site, std::string to) {
+void CoordinationRuntime::effect(Effect effect, std::string site, std::string to) {
   asio::post(io_, [this, effect = std::move(effect), site = std::move(site), to = std::move(to)] {
     if (!agent_) return;
     agent_->effect(now(), effect, site, to);
@@ -210,7 +210,7 @@
   });
 }
 
-void Member::with_agent(std::function<void(Micros, Agent&)> what) {
+void CoordinationRuntime::with_protocol(std::function<void(Micros, CoordinationProtocol&)> what) {
   asio::post(io_, [this, what = std::move(what)] {
     if (!agent_) return;
     what(now(), *agent_);
@@ -218,7 +218,7 @@
   });
 }
 
-void Member::want(std::string job, std::uint32_t rev) {
+void CoordinationRuntime::want(std::string job, std::uint32_t rev) {
   asio::post(io_, [this, job = std::move(job), rev] {
     if (!agent_) return;
     agent_->want(now(), job, rev);
--- a/src/coordination/coordination_runtime.h
+++ b/src/coordination/coordination_runtime.h
@@ -14,24 +14,24 @@
 
 namespace flintglade::coordination {
 
-class Member {
+class CoordinationRuntime {
  public:
   // Its clock, which runs while the machine sleeps, too: a lease ends on all clocks.
   static Micros now();
   struct Settings {
-    AgentSettings agent;
+    CoordinationSettings agent;
     config::HostPort listen;
     std::uint64_t voter_id = 0;  // 0: no voter
     std::string directory;       // of a voter
     std::uint64_t seed = 0;
     Companion* companion = nullptr;  // borrowed; on the member's thread alone
   };
-  using OnWord = std::function<void(const Agent::Word&)>;  // on the member's thread
+  using OnWord = std::function<void(const CoordinationProtocol::Word&)>;  // on the member's thread
 
-  Member(Settings settings, OnWord on_word);
-  ~Member();  // without a good-bye, unless leave() came first
-  Member(const Member&) = delete;
-  Member& operator=(const Member&) = delete;
+  CoordinationRuntime(Settings settings, OnWord on_word);
+  ~CoordinationRuntime();  // without a good-bye, unless leave() came first
+  CoordinationRuntime(const CoordinationRuntime&) = delete;
+  CoordinationRuntime& operator=(const CoordinationRuntime&) = delete;
 
   void start();
   // Gives up the jobs and says good-bye, in half a second at the most; then done is called on the member's
@@ -41,7 +41,7 @@
   void effect(Effect effect, std::string site, std::string to = "");
   void want(std::string job, std::uint32_t rev);
   // On the member's thread; dropped while the agent is not there yet.
-  void with_agent(std::function<void(Micros, Agent&)> what);
+  void with_protocol(std::function<void(Micros, CoordinationProtocol&)> what);
 
  private:
   bool open();
@@ -58,8 +58,8 @@
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer timer_, again_;
   std::string buffer_;
-  std::unique_ptr<Disk> disk_;
-  std::unique_ptr<Agent> agent_;
+  std::unique_ptr<FileRaftStorage> disk_;
+  std::unique_ptr<CoordinationProtocol> agent_;
   std::function<void()> left_;
   bool told_ = false;
   std::thread thread_;
--- a/src/coordination/fencing_token.h
+++ b/src/coordination/fencing_token.h
@@ -8,7 +8,7 @@
 
 namespace flintglade::coordination {
 
-class Fence {
+class FencingTokens {
  public:
   static constexpr std::size_t kMost = 1024;  // jobs; the record has far fewer
   bool admit(const std::string& job, std::uint64_t number) {
--- a/src/coordination/lease_manager.cpp
+++ b/src/coordination/lease_manager.cpp
@@ -53,7 +53,7 @@
   asked_.erase(job);
 }
 
-std::vector<Command> LeaseManager::decide(Micros now, const Jobs& jobs,
+std::vector<Command> LeaseManager::decide(Micros now, const LeaseStateMachine& jobs,
                                           const std::vector<membership::Peer>& living) {
   std::vector<Command> out;
   next_ = core::kNever;
--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -44,7 +44,8 @@
   // one at once.
   void granted(Micros now, const std::string& job);
   // What to put into the log now. living: all routers that are alive, or only suspected.
-  std::vector<Command> decide(Micros now, const Jobs& jobs, const std::vector<membership::Peer>& living);
+  std::vector<Command> decide(Micros now, const LeaseStateMachine& jobs,
+                              const std::vector<membership::Peer>& living);
   Micros next() const { return next_; }  // when to ask again, if nothing else happens
   const std::vector<Wanted>& wanted() const { return wanted_; }
 
--- a/src/coordination/lease_state_machine.cpp
+++ b/src/coordination/lease_state_machine.cpp
@@ -4,15 +4,15 @@
 
 namespace flintglade::coordination {
 
-const Job* Jobs::find(std::string_view name) const {
+const Job* LeaseStateMachine::find(std::string_view name) const {
   for (const Job& j : table_.jobs()) {
     if (j.name() == name) return &j;
   }
   return nullptr;
 }
-Job* Jobs::get(const std::string& name) { return const_cast<Job*>(find(name)); }
+Job* LeaseStateMachine::get(const std::string& name) { return const_cast<Job*>(find(name)); }
 
-std::vector<Held> Jobs::still(const Renew& renew) const {
+std::vector<Held> LeaseStateMachine::still(const Renew& renew) const {
   std::vector<Held> out;
   for (const Held& h : renew.held()) {
     const Job* job = find(h.job());
@@ -23,7 +23,7 @@
   return out;
 }
 
-Applied Jobs::apply(const Command& command) {
+Applied LeaseStateMachine::apply(const Command& command) {
   Applied out;
   switch (command.what_case()) {
     case Command::kGrant: {
@@ -79,7 +79,7 @@
 
 // The sum of all draws of a window never passes its whole: a draw of a former owner, of a window that is over
 // or one that was done already changes nothing, and the last one gets what is left.
-bool Jobs::draw(const Draw& d) {
+bool LeaseStateMachine::draw(const Draw& d) {
   const Job* job = find(d.job());
   if (job == nullptr || job->number() != d.number() || d.amount() <= 0 || d.whole() <= 0) return false;
   Stock* stock = nullptr;
--- a/src/coordination/lease_state_machine.h
+++ b/src/coordination/lease_state_machine.h
@@ -21,7 +21,7 @@
   std::vector<Held> renewed;  // of a Renew: what is still the asker's
 };
 
-class Jobs {
+class LeaseStateMachine {
  public:
   Applied apply(const Command& command);
   const Job* find(std::string_view name) const;
--- a/src/coordination/raft_log.cpp
+++ b/src/coordination/raft_log.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void Memory::apply(const Frame& frame) {
+void PersistentState::apply(const Frame& frame) {
   switch (frame.what_case()) {
     case Frame::kHead:
       head = frame.head();
@@ -61,7 +61,7 @@
   return out + message;
 }
 
-std::string all_bytes(const Memory& memory) {
+std::string all_bytes(const PersistentState& memory) {
   std::string out;
   Frame f;
   *f.mutable_head() = memory.head;
@@ -79,7 +79,7 @@
   return out;
 }
 
-std::string read_journal(std::string_view bytes, Memory& out, std::size_t& torn) {
+std::string read_journal(std::string_view bytes, PersistentState& out, std::size_t& torn) {
   out = {};
   torn = 0;
   if (bytes.size() > kMostJournal) return "larger than any record's file";
--- a/src/coordination/raft_log.h
+++ b/src/coordination/raft_log.h
@@ -23,7 +23,7 @@
 inline constexpr std::size_t kMostJournal = 64u << 20;  // a larger file is refused
 inline constexpr std::size_t kMostFrame = 4u << 20;
 
-struct Memory {
+struct PersistentState {
   Head head;
   Vote vote;
   bool has_snapshot = false;
@@ -37,10 +37,10 @@
 
 std::string frame_bytes(const Frame& frame);
 // The whole memory, as a file begins.
-std::string all_bytes(const Memory& memory);
+std::string all_bytes(const PersistentState& memory);
 
 // Empty: read. Else one line that says why this file cannot be used. torn: how many bytes at its end are to
 // be cut off. A file of no bytes gives a memory without a head.
-std::string read_journal(std::string_view bytes, Memory& out, std::size_t& torn);
+std::string read_journal(std::string_view bytes, PersistentState& out, std::size_t& torn);
 
 }  // namespace flintglade::coordination
--- a/src/coordination/raft_node.cpp
+++ b/src/coordination/raft_node.cpp
@@ -67,13 +67,13 @@
 
 }  // namespace
 
-struct Node::Io {
+struct RaftNode::Io {
   raft_io io{};
-  Node* node;
+  RaftNode* node;
   raft_io_tick_cb tick = nullptr;
   raft_io_recv_cb receive = nullptr;
 
-  explicit Io(Node* owner) : node(owner) {
+  explicit Io(RaftNode* owner) : node(owner) {
     io.version = 1;
     io.impl = this;
     io.init = [](raft_io*, raft_id, const char*) { return 0; };
@@ -101,7 +101,7 @@
       return self(of).node->store(f) ? 0 : RAFT_IOERR;
     };
     io.send = [](raft_io* of, raft_io_send* req, const raft_message* m, raft_io_send_cb cb) {
-      Node& node = *self(of).node;
+      RaftNode& node = *self(of).node;
       const Raft message = node.encode(*m);
       if (message.ByteSizeLong() <= kMostInMessage) node.send_(m->server_address, message);
       // Nobody waits for the word that hands the lead over.
@@ -110,7 +110,7 @@
     };
     io.append = [](raft_io* of, raft_io_append* req, const raft_entry entries[], unsigned n,
                    raft_io_append_cb cb) {
-      Node& node = *self(of).node;
+      RaftNode& node = *self(of).node;
       std::string bytes;
       for (unsigned i = 0; i < n; ++i) {
         Frame f;
@@ -130,7 +130,7 @@
     };
     io.snapshot_put = snapshot_put;
     io.snapshot_get = [](raft_io* of, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
-      Node& node = *self(of).node;
+      RaftNode& node = *self(of).node;
       node.waiting_.emplace_back([&node, req, cb] {
         raft_snapshot* s = nullptr;
         const int rc = make_snapshot(node.memory_, s);
@@ -146,7 +146,7 @@
 
   static Io& self(raft_io* of) { return *static_cast<Io*>(of->impl); }
 
-  static int make_snapshot(const Memory& memory, raft_snapshot*& out) {
+  static int make_snapshot(const PersistentState& memory, raft_snapshot*& out) {
     auto* s = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
     s->index = memory.snapshot.index();
     s->term = memory.snapshot.term();
@@ -164,7 +164,7 @@
 
   static int load(raft_io* of, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
                   raft_index* start_index, raft_entry* entries[], std::size_t* n) {
-    const Memory& m = self(of).node->memory_;
+    const PersistentState& m = self(of).node->memory_;
     *term = m.vote.term();
     *voted_for = m.vote.voted_for();
     *snapshot = nullptr;
@@ -179,7 +179,7 @@
 
   static int snapshot_put(raft_io* of, unsigned trailing, raft_io_snapshot_put* req,
                           const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
-    Node& node = *self(of).node;
+    RaftNode& node = *self(of).node;
     Frame f;
     Snapshot& s = *f.mutable_snapshot();
     s.set_index(snapshot->index);
@@ -205,8 +205,8 @@
   }
 };
 
-Node::Node(std::string at, Memory memory, Storage& storage, NodeTimes times, std::uint64_t seed, Send send,
-           OnApply on_apply)
+RaftNode::RaftNode(std::string at, PersistentState memory, RaftStorage& storage, RaftTimes times,
+                   std::uint64_t seed, Send send, OnApply on_apply)
     : at_(std::move(at)),
       memory_(std::move(memory)),
       storage_(storage),
@@ -218,7 +218,7 @@
   fsm_.version = 1;
   fsm_.data = this;
   fsm_.apply = [](raft_fsm* of, const raft_buffer* buf, void** result) {
-    Node& node = *static_cast<Node*>(of->data);
+    RaftNode& node = *static_cast<RaftNode*>(of->data);
     Command command;
     Applied applied;
     if (command.ParseFromArray(buf->base, static_cast<int>(buf->len))) applied = node.jobs_.apply(command);
@@ -230,7 +230,7 @@
     return 0;
   };
   fsm_.snapshot = [](raft_fsm* of, raft_buffer* bufs[], unsigned* n) {
-    const std::string bytes = static_cast<Node*>(of->data)->jobs_.save();
+    const std::string bytes = static_cast<RaftNode*>(of->data)->jobs_.save();
     *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     (*bufs)[0] = {copied(bytes), bytes.size()};
     *n = 1;
@@ -238,20 +238,20 @@
   };
   fsm_.restore = [](raft_fsm* of, raft_buffer* buf) {
     const bool good =
-        static_cast<Node*>(of->data)->jobs_.load({static_cast<const char*>(buf->base), buf->len});
+        static_cast<RaftNode*>(of->data)->jobs_.load({static_cast<const char*>(buf->base), buf->len});
     raft_free(buf->base);
     return good ? 0 : RAFT_MALFORMED;
   };
 }
 
-Node::~Node() {
+RaftNode::~RaftNode() {
   if (!started_) return;
-  raft_close(&raft_, [](raft* of) { static_cast<Node*>(of->data)->closed_ = true; });
+  raft_close(&raft_, [](raft* of) { static_cast<RaftNode*>(of->data)->closed_ = true; });
   while (!closed_ && !waiting_.empty()) settle();
   changing_.reset();
 }
 
-std::string Node::start(Micros now) {
+std::string RaftNode::start(Micros now) {
   now_ = now;
   int rc = raft_init(&raft_, &io_->io, &fsm_, memory_.head.id(), at_.c_str());
   if (rc != 0) return raft_strerror(rc);
@@ -269,7 +269,7 @@
   return "";
 }
 
-void Node::tick(Micros now) {
+void RaftNode::tick(Micros now) {
   if (!halted_.empty() || !started_) return;
   now_ = now;
   next_ = now + kTickMs * core::kMilli;
@@ -277,7 +277,7 @@
   settle();
 }
 
-void Node::settle() {
+void RaftNode::settle() {
   while (!waiting_.empty()) {
     const auto first = std::move(waiting_.front());
     waiting_.pop_front();
@@ -285,20 +285,20 @@
   }
 }
 
-bool Node::store(const Frame& frame) {
+bool RaftNode::store(const Frame& frame) {
   memory_.apply(frame);
   const std::string why = halted_.empty() ? storage_.append(frame_bytes(frame)) : halted_;
   if (!why.empty()) halt(why);
   return why.empty();
 }
 
-void Node::halt(const std::string& why) {
+void RaftNode::halt(const std::string& why) {
   if (halted_.empty()) halted_ = why.empty() ? "halted" : why;
   next_ = core::kNever;
 }
 
-bool Node::leads() const { return halted_.empty() && started_ && raft_.state == RAFT_LEADER; }
-std::string Node::role() const {
+bool RaftNode::leads() const { return halted_.empty() && started_ && raft_.state == RAFT_LEADER; }
+std::string RaftNode::role() const {
   if (!halted_.empty()) return "halted";
   switch (raft_.state) {
     case RAFT_LEADER:
@@ -309,13 +309,13 @@
       return "follower";
   }
 }
-std::string Node::leader_at() const {
+std::string RaftNode::leader_at() const {
   raft_id id = 0;
   const char* at = nullptr;
   if (started_ && halted_.empty()) raft_leader(const_cast<raft*>(&raft_), &id, &at);
   return at == nullptr ? "" : at;
 }
-std::vector<Voter> Node::voters() const {
+std::vector<Voter> RaftNode::voters() const {
   std::vector<Voter> out;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     Voter v;
@@ -327,7 +327,7 @@
   return out;
 }
 
-void Node::propose(Micros now, const Command& command, Done done) {
+void RaftNode::propose(Micros now, const Command& command, Done done) {
   now_ = now;
   if (!leads()) return done(false, "not the leader", {});
   const std::string bytes = command.SerializeAsString();
@@ -348,14 +348,14 @@
   settle();
 }
 
-void Node::change(Micros now, const VoterChange& change, Done done) {
+void RaftNode::change(Micros now, const VoterChange& change, Done done) {
   now_ = now;
   if (!leads()) return done(false, "not the leader", {});
   if (changing_) return done(false, "another change of voters is under way", {});
   changing_ = std::make_unique<Changing>(Changing{{}, this, std::move(done), change.id()});
   changing_->request.data = changing_.get();
   static constexpr raft_change_cb ended = [](raft_change* req, int status) {
-    Node& node = *static_cast<Changing*>(req->data)->node;
+    RaftNode& node = *static_cast<Changing*>(req->data)->node;
     const std::unique_ptr<Changing> own = std::move(node.changing_);
     own->done(status == 0, status == 0 ? "" : raft_strerror(status), {});
   };
@@ -364,7 +364,7 @@
     rc = raft_add(&raft_, &changing_->request, change.id(), change.at().c_str(),
                   [](raft_change* req, int status) {
                     auto* c = static_cast<Changing*>(req->data);
-                    Node& node = *c->node;
+                    RaftNode& node = *c->node;
                     if (status == 0) status = raft_assign(&node.raft_, req, c->id, RAFT_VOTER, ended);
                     if (status != 0) ended(req, status);
                   });
@@ -375,12 +375,12 @@
   settle();
 }
 
-bool Node::hand_over(Micros now) {
+bool RaftNode::hand_over(Micros now) {
   now_ = now;
   if (!leads() || transfers_) return false;
   transfer_.data = this;
   const int rc = raft_transfer(&raft_, &transfer_, 0, [](struct raft_transfer* req) {
-    static_cast<Node*>(req->data)->transfers_ = false;
+    static_cast<RaftNode*>(req->data)->transfers_ = false;
   });
   transfers_ = rc == 0;
   settle();
@@ -389,7 +389,7 @@
 
 // ---- messages
 
-Raft Node::encode(const raft_message& m) const {
+Raft RaftNode::encode(const raft_message& m) const {
   Raft out;
   out.set_sender(memory_.head.id());
   out.set_receiver(m.server_id);
@@ -441,7 +441,7 @@
   return out;
 }
 
-void Node::receive(Micros now, const Raft& in) {
+void RaftNode::receive(Micros now, const Raft& in) {
   if (!halted_.empty() || !started_ || in.receiver() != id() || in.sender() == id()) return;
   now_ = now;
   // Only from servers that the configuration knows, but for one that knows none yet.
@@ -500,8 +500,9 @@
   settle();
 }
 
-Memory Node::first_memory(const std::string& fleet, std::uint64_t id, const std::vector<Voter>& voters) {
-  Memory out;
+PersistentState RaftNode::first_memory(const std::string& fleet, std::uint64_t id,
+                                       const std::vector<Voter>& voters) {
+  PersistentState out;
   out.head.set_fleet(fleet);
   out.head.set_id(id);
   out.head.set_version(kJournalVersion);
--- a/src/coordination/raft_node.h
+++ b/src/coordination/raft_node.h
@@ -25,22 +25,22 @@
 
 using core::Micros;
 
-struct NodeTimes {
+struct RaftTimes {
   unsigned election_ms = 1000, heartbeat_ms = 100;
 };
 
-class Node {
+class RaftNode {
  public:
   using Send = std::function<void(const std::string& at, const Raft& message)>;
   using OnApply = std::function<void(const Command&, const Applied&)>;
   using Done = std::function<void(bool done, const std::string& why, const Applied&)>;
 
   // memory: what the storage holds, with a head. Both references outlive the node.
-  Node(std::string at, Memory memory, Storage& storage, NodeTimes times, std::uint64_t seed, Send send,
-       OnApply on_apply);
-  ~Node();
-  Node(const Node&) = delete;
-  Node& operator=(const Node&) = delete;
+  RaftNode(std::string at, PersistentState memory, RaftStorage& storage, RaftTimes times, std::uint64_t seed,
+           Send send, OnApply on_apply);
+  ~RaftNode();
+  RaftNode(const RaftNode&) = delete;
+  RaftNode& operator=(const RaftNode&) = delete;
 
   std::string start(Micros now);
   void receive(Micros now, const Raft& message);
@@ -65,22 +65,23 @@
   std::uint64_t applied() const { return raft_.last_applied; }
   std::uint64_t last_index() const { return memory_.last(); }
   std::vector<Voter> voters() const;
-  const Jobs& jobs() const { return jobs_; }
+  const LeaseStateMachine& jobs() const { return jobs_; }
 
   // A file's beginning: with the fleet's voters, or empty for one that is added to them later.
-  static Memory first_memory(const std::string& fleet, std::uint64_t id, const std::vector<Voter>& voters);
+  static PersistentState first_memory(const std::string& fleet, std::uint64_t id,
+                                      const std::vector<Voter>& voters);
 
  private:
   struct Io;
   friend struct Io;
   struct Proposal {
     struct raft_apply request;
-    Node* node;
+    RaftNode* node;
     Done done;
   };
   struct Changing {
     raft_change request;
-    Node* node;
+    RaftNode* node;
     Done done;
     std::uint64_t id;
   };
@@ -90,13 +91,13 @@
   Raft encode(const raft_message& m) const;
 
   std::string at_;
-  Memory memory_;
-  Storage& storage_;
-  NodeTimes times_;
+  PersistentState memory_;
+  RaftStorage& storage_;
+  RaftTimes times_;
   std::mt19937_64 random_;
   Send send_;
   OnApply on_apply_;
-  Jobs jobs_;
+  LeaseStateMachine jobs_;
   std::unique_ptr<Io> io_;
   raft raft_{};
   raft_fsm fsm_{};
--- a/src/coordination/raft_storage.cpp
+++ b/src/coordination/raft_storage.cpp
@@ -46,12 +46,12 @@
 
 }  // namespace
 
-Disk::~Disk() {
+FileRaftStorage::~FileRaftStorage() {
   if (file_ >= 0) ::close(file_);
   if (lock_ >= 0) ::close(lock_);
 }
 
-std::string Disk::open(const std::string& directory, Memory& out) {
+std::string FileRaftStorage::open(const std::string& directory, PersistentState& out) {
   directory_ = directory;
   out = {};
   const std::string path = directory + kFile, lock = directory + "/lock";
@@ -78,7 +78,7 @@
   return "";
 }
 
-std::string Disk::create(const std::string& directory, const Memory& first) {
+std::string FileRaftStorage::create(const std::string& directory, const PersistentState& first) {
   if (::mkdir(directory.c_str(), 0700) != 0 && errno != EEXIST) return failed(directory);
   const std::string path = directory + kFile;
   if (::access(path.c_str(), F_OK) == 0)
@@ -86,11 +86,11 @@
   return write_new(directory, path + ".new", all_bytes(first));
 }
 
-std::string Disk::append(const std::string& bytes) {
+std::string FileRaftStorage::append(const std::string& bytes) {
   return file_ >= 0 && write_all(file_, bytes) ? "" : failed(directory_ + kFile);
 }
 
-std::string Disk::rewrite(const std::string& bytes) {
+std::string FileRaftStorage::rewrite(const std::string& bytes) {
   const std::string path = directory_ + kFile;
   const std::string why = write_new(directory_, path + ".new", bytes);
   if (!why.empty()) return why;
--- a/src/coordination/raft_storage.h
+++ b/src/coordination/raft_storage.h
@@ -10,25 +10,25 @@
 namespace flintglade::coordination {
 
 // What a voter's log is written to. Empty: it is on stable storage.
-class Storage {
+class RaftStorage {
  public:
-  virtual ~Storage() = default;
+  virtual ~RaftStorage() = default;
   virtual std::string append(const std::string& bytes) = 0;
   virtual std::string rewrite(const std::string& bytes) = 0;  // all or nothing
 };
 
-class Disk final : public Storage {
+class FileRaftStorage final : public RaftStorage {
  public:
-  Disk() = default;
-  ~Disk() override;
-  Disk(const Disk&) = delete;
-  Disk& operator=(const Disk&) = delete;
+  FileRaftStorage() = default;
+  ~FileRaftStorage() override;
+  FileRaftStorage(const FileRaftStorage&) = delete;
+  FileRaftStorage& operator=(const FileRaftStorage&) = delete;
 
   // Takes the lock and reads what is there; what is torn at the end is cut off. A missing directory or an
   // empty one gives a memory without a head, and that is no error.
-  std::string open(const std::string& directory, Memory& out);
+  std::string open(const std::string& directory, PersistentState& out);
   // Makes the directory, if need be, and its file. A file that is there is never written over.
-  static std::string create(const std::string& directory, const Memory& first);
+  static std::string create(const std::string& directory, const PersistentState& first);
   std::string append(const std::string& bytes) override;
   std::string rewrite(const std::string& bytes) override;
 
--- a/src/coordination/shared_endpoint_list.cpp
+++ b/src/coordination/shared_endpoint_list.cpp
@@ -11,16 +11,16 @@
 constexpr Micros kAskAgain = 200 * core::kMilli;
 }  // namespace
 
-SharedList::SharedList(core::Clock& clock, Settings settings, Ports ports, std::string source,
-                       std::uint64_t seed)
+SharedEndpointList::SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
+                                       std::uint64_t seed)
     : clock_(clock), set_(settings), ports_(std::move(ports)), source_(std::move(source)), random_(seed) {}
 
-const char* SharedList::name(State s) {
+const char* SharedEndpointList::name(State s) {
   static constexpr const char* kNames[] = {"alone", "following", "reader"};
   return kNames[static_cast<std::size_t>(s)];
 }
 
-void SharedList::become(State s) {
+void SharedEndpointList::become(State s) {
   if (state_ == s) return;
   const bool was_closed = state_ == State::following;
   state_ = s;
@@ -35,12 +35,12 @@
   if (ports_.changed) ports_.changed(name(s));
 }
 
-void SharedList::observe(bool on) {
+void SharedEndpointList::observe(bool on) {
   observed_ = on;
   if (state_ != State::following || !on) ports_.watch(on);
 }
 
-void SharedList::keep(std::uint32_t after, std::uint32_t rev, std::string_view text) {
+void SharedEndpointList::keep(std::uint32_t after, std::uint32_t rev, std::string_view text) {
   Line l;
   l.set_after(after);
   l.set_rev(rev);
@@ -53,7 +53,7 @@
   }
 }
 
-void SharedList::line(std::uint32_t after, std::uint32_t rev, std::string_view text) {
+void SharedEndpointList::line(std::uint32_t after, std::uint32_t rev, std::string_view text) {
   rev_ = rev;
   keep(after, rev, text);
   if (state_ != State::reader) return;
@@ -70,12 +70,12 @@
   ports_.publish(std::move(e));
 }
 
-void SharedList::reader(bool is) {
+void SharedEndpointList::reader(bool is) {
   if (is) return become(State::reader);
   if (state_ == State::reader) become(State::alone);
 }
 
-void SharedList::effect(const Effect& e) {
+void SharedEndpointList::effect(const Effect& e) {
   if (e.source() != source_) return;
   if (state_ == State::reader) return;  // of one that does not know yet that it is none any more
   heard_ = clock_.now();
@@ -99,7 +99,7 @@
   }
 }
 
-void SharedList::wanted(std::uint32_t rev, const std::string& from) {
+void SharedEndpointList::wanted(std::uint32_t rev, const std::string& from) {
   if (state_ != State::reader) return;
   Effect e;
   e.set_source(source_);
@@ -115,7 +115,7 @@
   ports_.send(std::move(e), from);
 }
 
-void SharedList::moved(const std::string& source) {
+void SharedEndpointList::moved(const std::string& source) {
   if (source == source_) return;
   source_ = source;
   rev_ = 0;
@@ -124,7 +124,7 @@
   if (state_ == State::following) become(State::alone);
 }
 
-void SharedList::tick() {
+void SharedEndpointList::tick() {
   const Micros now = clock_.now();
   if (state_ == State::reader && now >= next_beat_) {
     next_beat_ = now + set_.beat;
@@ -136,7 +136,7 @@
   if (state_ == State::following && now >= next()) become(State::alone);
 }
 
-Micros SharedList::next() const {
+Micros SharedEndpointList::next() const {
   if (state_ == State::reader) return next_beat_;
   if (state_ == State::alone) return core::kNever;
   const Micros silent = heard_ + set_.silence + wait_;
--- a/src/coordination/shared_endpoint_list.h
+++ b/src/coordination/shared_endpoint_list.h
@@ -25,7 +25,7 @@
 
 using core::Micros;
 
-class SharedList final : public core::ReplicaList {
+class SharedEndpointList final : public core::ReplicaList {
  public:
   struct Settings {
     Micros silence = 2 * core::kSecond;
@@ -43,7 +43,8 @@
   };
   enum class State { alone, following, reader };
 
-  SharedList(core::Clock& clock, Settings settings, Ports ports, std::string source, std::uint64_t seed);
+  SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
+                     std::uint64_t seed);
 
   void observe(bool on) override;  // by the core
   // The own watch has read a line: of a list that was at `after` (0: it is whole) and now is at rev.
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -80,7 +80,7 @@
       std::uint32_t version = 0;
     };
     std::vector<Word> retired;  // since when it was known to drain or be gone
-    policy::Learned learned;
+    policy::LearnedState learned;
   };
   Handed hand() const;
   // same_list: versions of its list can be compared with those of ours. A list of ours that is as new stays
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -44,11 +44,11 @@
 
 core::ReplicaId replica_id(const std::string& address) { return config::hash_name(address); }
 
-Membership::Membership(Settings settings, std::vector<SourceSpec> sources) {
+EndpointMerger::EndpointMerger(Settings settings, std::vector<SourceSpec> sources) {
   configure(0, settings, std::move(sources));
 }
 
-void Membership::configure(Micros now, Settings settings, std::vector<SourceSpec> specs) {
+void EndpointMerger::configure(Micros now, Settings settings, std::vector<SourceSpec> specs) {
   set_ = settings;
   std::vector<Source> fresh;
   for (SourceSpec& spec : specs) {
@@ -79,7 +79,7 @@
   settle(now);
 }
 
-Membership::Source* Membership::find(const std::string& name) {
+EndpointMerger::Source* EndpointMerger::find(const std::string& name) {
   const auto it = std::find_if(sources_.begin(), sources_.end(),
                                [&](const Source& s) { return s.spec.name == name && !name.empty(); });
   return it == sources_.end() ? nullptr : &*it;
@@ -88,7 +88,7 @@
 // ---- what sources say
 // -----------------------------------------------------------------------------------------
 
-void Membership::good(Micros now, Source& source) {
+void EndpointMerger::good(Micros now, Source& source) {
   source.answered = true;
   source.failing = false;
   source.only_known = false;
@@ -97,7 +97,7 @@
   ++source.answers;
 }
 
-void Membership::failed(Micros now, const std::string& name, const std::string& why) {
+void EndpointMerger::failed(Micros now, const std::string& name, const std::string& why) {
   Source* source = find(name);
   if (source == nullptr) return;
   source->failing = true;
@@ -108,7 +108,7 @@
 }
 
 // One word on one address. held_back: what this source had called gone comes back only after a while.
-void Membership::say(Micros now, Source& source, const std::string& address, Word word, bool held_back) {
+void EndpointMerger::say(Micros now, Source& source, const std::string& address, Word word, bool held_back) {
   const auto it = source.words.find(address);
   word.since = now;
   if (it == source.words.end()) {
@@ -128,7 +128,7 @@
   source.words[address] = std::move(word);
 }
 
-void Membership::drop(Micros now, Source& source, const std::string& address) {
+void EndpointMerger::drop(Micros now, Source& source, const std::string& address) {
   Word& word = source.words[address];
   if (word.standing != Standing::gone) word.since = now;
   word.standing = Standing::gone;
@@ -136,7 +136,7 @@
   word.doubted = false;
 }
 
-void Membership::known(Micros now, const core::ListNews& news) {
+void EndpointMerger::known(Micros now, const core::ListNews& news) {
   for (Source& source : sources_) {
     if (!source.spec.list) continue;
     take_list(now, source, news, true);
@@ -145,7 +145,7 @@
   settle(now);
 }
 
-void Membership::list(Micros now, const core::ListNews& news) {
+void EndpointMerger::list(Micros now, const core::ListNews& news) {
   for (Source& source : sources_) {
     if (!source.spec.list || source.leaving) continue;
     take_list(now, source, news, !source.answered);
@@ -154,7 +154,7 @@
   settle(now);
 }
 
-void Membership::take_list(Micros now, Source& source, const core::ListNews& news, bool first) {
+void EndpointMerger::take_list(Micros now, Source& source, const core::ListNews& news, bool first) {
   const bool whole = news.kind != policy::ListKind::delta;
   // A list that was set back (its service restored, another instance asked) may not bring back what it has
   // already called gone; only time can tell which of the two was right.
@@ -189,7 +189,7 @@
   }
 }
 
-void Membership::dns(Micros now, const std::string& name, const DnsFacts& facts) {
+void EndpointMerger::dns(Micros now, const std::string& name, const DnsFacts& facts) {
   Source* found = find(name);
   if (found == nullptr || found->leaving) return;
   Source& source = *found;
@@ -265,7 +265,7 @@
   settle(now);
 }
 
-std::vector<std::string> Membership::to_confirm(Micros now) {
+std::vector<std::string> EndpointMerger::to_confirm(Micros now) {
   std::vector<std::string> out;
   for (Source& s : sources_) {
     if (s.doubt_since == kNever || s.spec.list || s.leaving) continue;
@@ -282,17 +282,17 @@
 // -------------------------------------------------------------------------------------------------
 
 // A source that has failed for very long has no say beside one that answers; alone it is better than nothing.
-bool Membership::lapsed(const Source& source, Micros now) const {
+bool EndpointMerger::lapsed(const Source& source, Micros now) const {
   if (!source.failing || source.last_answer < 0 || now - source.last_answer < set_.source_stale) return false;
   return std::any_of(sources_.begin(), sources_.end(), [this](const Source& s) { return current(s); });
 }
 
-void Membership::wake(Micros now) {
+void EndpointMerger::wake(Micros now) {
   if (now >= alarm_) settle(now);
 }
-Micros Membership::next_alarm() const { return alarm_; }
+Micros EndpointMerger::next_alarm() const { return alarm_; }
 
-void Membership::settle(Micros now) {
+void EndpointMerger::settle(Micros now) {
   alarm_ = kNever;
   ++generation_;
   // A removed source goes once each that stays has answered or failed.
@@ -401,7 +401,7 @@
 
 // Groups of higher priority first. A group that lacks replicas keeps the part of the traffic that it can
 // take; the rest goes on to the next. Lowered at once, raised after a wait and only well above the threshold.
-void Membership::spread(Micros now) {
+void EndpointMerger::spread(Micros now) {
   struct Count {
     double known = 0.0, ready = 0.0, size = 0.0;
   };
@@ -464,7 +464,7 @@
 // ---- telling
 // --------------------------------------------------------------------------------------------------
 
-std::optional<core::ListNews> Membership::changes() {
+std::optional<core::ListNews> EndpointMerger::changes() {
   core::ListNews news;
   news.kind = policy::ListKind::delta;
   for (const auto& [address, v] : verdicts_) {
@@ -496,7 +496,7 @@
   return news;
 }
 
-core::ListNews Membership::whole() const {
+core::ListNews EndpointMerger::whole() const {
   core::ListNews news;
   news.kind = policy::ListKind::full;
   news.version = version_;
@@ -506,15 +506,15 @@
   return news;
 }
 
-bool Membership::answered() const {
+bool EndpointMerger::answered() const {
   return std::any_of(sources_.begin(), sources_.end(), [](const Source& s) { return s.answered; });
 }
-bool Membership::all_failed() const {
+bool EndpointMerger::all_failed() const {
   return !answered() &&
          std::all_of(sources_.begin(), sources_.end(), [](const Source& s) { return s.failing; });
 }
 
-std::vector<Said> Membership::said(const std::string& address, Micros now) const {
+std::vector<Said> EndpointMerger::said(const std::string& address, Micros now) const {
   std::vector<Said> out;
   for (const Source& s : sources_) {
     const auto it = s.words.find(address);
@@ -530,7 +530,7 @@
   return out;
 }
 
-std::vector<SourceStatus> Membership::status(Micros now) const {
+std::vector<SourceStatus> EndpointMerger::status(Micros now) const {
   std::vector<SourceStatus> out;
   for (const Source& s : sources_) {
     SourceStatus st;
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -92,9 +92,9 @@
   std::uint64_t answers = 0, failures = 0, doubts = 0;
 };
 
-class Membership {
+class EndpointMerger {
  public:
-  Membership(Settings settings, std::vector<SourceSpec> sources);
+  EndpointMerger(Settings settings, std::vector<SourceSpec> sources);
   // A reload. A source of an old name keeps what it said; what a removed one said counts until each new one
   // has answered or failed.
   void configure(Micros now, Settings settings, std::vector<SourceSpec> sources);
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-Sources::Sources(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
-                 const deploy::Membership& file, std::vector<SourceSpec> specs)
+EndpointSources::EndpointSources(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
+                                 const deploy::Membership& file, std::vector<SourceSpec> specs)
     : io_(io),
       clock_(clock),
       watch_(watch),
@@ -44,11 +44,11 @@
       uses_list_(has_list(specs_)) {
   watch_.tell([this](core::ListNews news) { listed(std::move(news)); });
 }
-Sources::~Sources() {
+EndpointSources::~EndpointSources() {
   watch_.tell([](core::ListNews) {});
 }
 
-void Sources::start(const std::string& known) {
+void EndpointSources::start(const std::string& known) {
   if (uses_list_) watch_.known(known);
   core::ListNews held = membership_.whole();
   membership_.changes();
@@ -59,12 +59,12 @@
   settle();
 }
 
-void Sources::observe(bool on) {
+void EndpointSources::observe(bool on) {
   asked_ = on;
   if (on) settle();
 }
 
-void Sources::reload(const deploy::Membership& file, std::vector<SourceSpec> specs) {
+void EndpointSources::reload(const deploy::Membership& file, std::vector<SourceSpec> specs) {
   specs_ = std::move(specs);
   membership_.configure(clock_.now(), rule(file.rule()), specs_);
   const bool used = std::exchange(uses_list_, has_list(specs_));
@@ -79,7 +79,7 @@
 // ---- what sources say
 // -----------------------------------------------------------------------------------------
 
-void Sources::listed(core::ListNews news) {
+void EndpointSources::listed(core::ListNews news) {
   for (core::Endpoint& entry : news.entries) {
     if (!entry.address.empty()) entry.address = canonical_address(entry.address);
   }
@@ -99,7 +99,7 @@
   }
 }
 
-void Sources::ask_list_again() {
+void EndpointSources::ask_list_again() {
   const Micros wait = std::min(kMostAskAgain, kAskAgain << std::min(list_failures_++, 8u));
   const double jitter = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
   again_.expires_after(std::chrono::microseconds(static_cast<Micros>(static_cast<double>(wait) * jitter)));
@@ -108,13 +108,13 @@
   });
 }
 
-const SourceSpec* Sources::by_dns_name(const std::string& name) const {
+const SourceSpec* EndpointSources::by_dns_name(const std::string& name) const {
   const auto it = std::find_if(specs_.begin(), specs_.end(),
                                [&](const SourceSpec& s) { return !s.list && s.dns_name == name; });
   return it == specs_.end() ? nullptr : &*it;
 }
 
-void Sources::answered(const std::string& name, const dns::SrvAnswer& answer) {
+void EndpointSources::answered(const std::string& name, const dns::SrvAnswer& answer) {
   const SourceSpec* spec = by_dns_name(name);
   // Past its lifetime it is no answer but what is held; failed() says so.
   if (spec == nullptr || answer.stale) return;
@@ -122,7 +122,7 @@
   settle();
 }
 
-void Sources::failed(const std::string& name, const std::string& why) {
+void EndpointSources::failed(const std::string& name, const std::string& why) {
   const SourceSpec* spec = by_dns_name(name);
   if (spec == nullptr) return;
   membership_.failed(clock_.now(), spec->name, why);
@@ -132,7 +132,7 @@
 // ---- telling
 // --------------------------------------------------------------------------------------------------
 
-void Sources::settle() {
+void EndpointSources::settle() {
   const Micros now = clock_.now();
   membership_.wake(now);
   for (const std::string& name : membership_.to_confirm(now)) {
@@ -165,7 +165,7 @@
   });
 }
 
-void Sources::log_changes() {
+void EndpointSources::log_changes() {
   for (const SourceStatus& s : membership_.status(clock_.now())) {
     std::string& before = logged_states_[s.name];
     if (before == s.state) continue;
@@ -195,7 +195,7 @@
     std::erase_if(logged_, [&](const auto& l) { return verdicts.count(l.first) == 0; });
 }
 
-std::string Sources::status() const {
+std::string EndpointSources::status() const {
   std::string out;
   for (const SourceStatus& s : membership_.status(clock_.now())) {
     if (!out.empty()) out += "; ";
@@ -206,7 +206,7 @@
   return out;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> Sources::counters() const {
+std::vector<std::pair<std::string, std::uint64_t>> EndpointSources::counters() const {
   std::vector<std::pair<std::string, std::uint64_t>> out;
   const dns::ResolverCounters& d = client_.resolver().counters();
   out = {{"dns_queries", d.queries},
--- a/src/endpoint_sources/endpoint_sources.h
+++ b/src/endpoint_sources/endpoint_sources.h
@@ -16,13 +16,13 @@
 
 namespace flintglade::endpoint_sources {
 
-class Sources final : public core::ReplicaList, private dns::ResolverListener {
+class EndpointSources final : public core::ReplicaList, private dns::ResolverListener {
  public:
   using Tell = std::function<void(core::ListNews)>;
   // watch is borrowed; it is used only where a source is the platform's list.
-  Sources(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
-          const deploy::Membership& file, std::vector<SourceSpec> specs);
-  ~Sources() override;
+  EndpointSources(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
+                  const deploy::Membership& file, std::vector<SourceSpec> specs);
+  ~EndpointSources() override;
 
   void tell(Tell tell) { tell_ = std::move(tell); }
   void start(const std::string& known);  // the platform's last known list, or nothing
@@ -32,7 +32,7 @@
 
   std::string status() const;  // how each source does, in one line
   std::vector<std::pair<std::string, std::uint64_t>> counters() const;
-  const Membership& membership() const { return membership_; }
+  const EndpointMerger& membership() const { return membership_; }
   const dns::Resolver& resolver() const { return client_.resolver(); }
 
  private:
@@ -48,7 +48,7 @@
   core::Clock& clock_;
   discovery::Watch& watch_;
   std::vector<SourceSpec> specs_;
-  Membership membership_;
+  EndpointMerger membership_;
   dns::Client client_;
   Tell tell_;
   boost::asio::steady_timer alarm_, again_;
--- a/src/hot_restart/descriptor_passing.cpp
+++ b/src/hot_restart/descriptor_passing.cpp
@@ -38,11 +38,11 @@
 
 }  // namespace
 
-Passage::~Passage() {
+DescriptorPassing::~DescriptorPassing() {
   if (!path_.empty()) ::unlink(path_.c_str());
 }
 
-std::string Passage::open(const std::string& folder, std::size_t seat, Take take) {
+std::string DescriptorPassing::open(const std::string& folder, std::size_t seat, Take take) {
   const std::string path = path_of(folder, seat);
   sockaddr_un at;
   if (!address_of(path, at)) return path + " is too long for a socket's name";
@@ -62,7 +62,7 @@
   return "";
 }
 
-void Passage::wait() {
+void DescriptorPassing::wait() {
   socket_.async_wait(boost::asio::posix::descriptor_base::wait_read, [this](boost::system::error_code ec) {
     if (ec) return;
     receive();
@@ -70,7 +70,7 @@
   });
 }
 
-void Passage::receive() {
+void DescriptorPassing::receive() {
   for (;;) {
     Message m(8);
     m.part = {bytes_.data(), bytes_.size()};
@@ -93,8 +93,8 @@
   }
 }
 
-Passage::Sent Passage::send(const std::string& folder, std::size_t seat, std::string_view bytes,
-                            Descriptors descriptors) {
+DescriptorPassing::Sent DescriptorPassing::send(const std::string& folder, std::size_t seat,
+                                                std::string_view bytes, Descriptors descriptors) {
   sockaddr_un at;
   if (bytes.size() > kMostBytes || !address_of(path_of(folder, seat), at)) return Sent::never;
   const int fd = ::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
--- a/src/hot_restart/descriptor_passing.h
+++ b/src/hot_restart/descriptor_passing.h
@@ -16,17 +16,17 @@
 
 namespace flintglade::hot_restart {
 
-class Passage {
+class DescriptorPassing {
  public:
   using Descriptors = std::array<int, 2>;  // the client's, then the replica's
   // Takes over both descriptors.
   using Take = std::function<void(std::string_view bytes, Descriptors descriptors)>;
   enum class Sent { yes, later, never };
 
-  explicit Passage(boost::asio::io_context& io) : socket_(io) {}
-  ~Passage();
-  Passage(const Passage&) = delete;
-  Passage& operator=(const Passage&) = delete;
+  explicit DescriptorPassing(boost::asio::io_context& io) : socket_(io) {}
+  ~DescriptorPassing();
+  DescriptorPassing(const DescriptorPassing&) = delete;
+  DescriptorPassing& operator=(const DescriptorPassing&) = delete;
 
   // Listens as the holder of this seat. Gives an empty string, or one line that says what is wrong; nothing
   // comes then, and sending is not touched by it.
--- a/src/hot_restart/process_slots.cpp
+++ b/src/hot_restart/process_slots.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::uint32_t kMagic = 0x73746673, kVersion = 1;
 constexpr off_t kSeatLocks = 1 << 20;  // beyond any page, whatever its version: just names
-constexpr off_t kDoor = kSeatLocks + Seats::kSeats;
+constexpr off_t kDoor = kSeatLocks + ProcessSlots::kMaxProcesses;
 
 struct flock lock_of(off_t at, short type) {
   struct flock lock {};
@@ -34,30 +34,30 @@
 
 }  // namespace
 
-struct alignas(64) Seats::Seat {
+struct alignas(64) ProcessSlots::ProcessSlot {
   std::atomic<std::uint32_t> taken, stage;
   std::atomic<std::uint64_t> sockets, bodies, joined;
 };
 
-struct Seats::Page {
+struct ProcessSlots::Page {
   std::uint32_t magic, version;
   std::uint64_t router;
-  Seat seats[kSeats];
+  ProcessSlot seats[kMaxProcesses];
 };
 
-Seats::~Seats() {
-  if (seated()) page_->seats[mine_].taken = 0;
+ProcessSlots::~ProcessSlots() {
+  if (has_slot()) page_->seats[mine_].taken = 0;
   if (notify_ >= 0) ::close(notify_);
   leave();
 }
 
 // Locks belong to the open file, not to the process: one that closes another descriptor of it keeps them.
-bool Seats::held(std::size_t seat) const {
+bool ProcessSlots::held(std::size_t seat) const {
   struct flock lock = lock_of(kSeatLocks + static_cast<off_t>(seat), F_WRLCK);
   return ::fcntl(file_, F_OFD_GETLK, &lock) != 0 || lock.l_type != F_UNLCK;
 }
 
-std::string Seats::join(const std::string& folder, const std::string& router) {
+std::string ProcessSlots::join(const std::string& folder, const std::string& router) {
   if (folder.empty()) return "TMPDIR names no folder";
   const std::string path = folder + "/flintglade.seats";
   file_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
@@ -68,12 +68,13 @@
 }
 
 // Locks go with the open file, which a mapping holds open too: who found no seat keeps nobody from theirs.
-void Seats::leave() {
+void ProcessSlots::leave() {
   if (page_ != nullptr) ::munmap(std::exchange(page_, nullptr), sizeof(Page));
   if (file_ >= 0) ::close(std::exchange(file_, -1));
 }
 
-std::string Seats::take_seat(const std::string& folder, const std::string& path, const std::string& router) {
+std::string ProcessSlots::take_seat(const std::string& folder, const std::string& path,
+                                    const std::string& router) {
   // One at a time looks at the form and takes a seat; nobody holds this lock for longer than that.
   struct flock door = lock_of(kDoor, F_WRLCK);
   for (int i = 0; ::fcntl(file_, F_OFD_SETLK, &door) != 0; ++i) {
@@ -81,7 +82,7 @@
     ::usleep(2000);
   }
   bool anybody = false;
-  for (std::size_t i = 0; i < kSeats; ++i) anybody = anybody || held(i);
+  for (std::size_t i = 0; i < kMaxProcesses; ++i) anybody = anybody || held(i);
   struct stat info {};
   const bool sized = ::fstat(file_, &info) == 0 && info.st_size == static_cast<off_t>(sizeof(Page));
   if (!sized && anybody) return path + " is in use in another form";
@@ -97,18 +98,18 @@
     page_->version = kVersion;
     page_->router = name;
   }
-  for (std::size_t i = 0; i < kSeats && !seated(); ++i) {
+  for (std::size_t i = 0; i < kMaxProcesses && !has_slot(); ++i) {
     struct flock lock = lock_of(kSeatLocks + static_cast<off_t>(i), F_WRLCK);
     if (::fcntl(file_, F_OFD_SETLK, &lock) != 0) continue;
     mine_ = static_cast<int>(i);
   }
-  if (!seated()) return path + ": every seat is taken";
-  for (std::size_t i = 0; i < kSeats; ++i) {
+  if (!has_slot()) return path + ": every seat is taken";
+  for (std::size_t i = 0; i < kMaxProcesses; ++i) {
     if (!held(i)) page_->seats[i].taken = 0;  // of the dead; while they are, each look asks the kernel
   }
   publish({});
   std::uint64_t last = 0;
-  for (const Seat& seat : page_->seats) last = std::max(last, seat.joined.load());
+  for (const ProcessSlot& seat : page_->seats) last = std::max(last, seat.joined.load());
   page_->seats[mine_].joined = last + 1;
   page_->seats[mine_].taken = 1;
   notify_ = ::inotify_init1(IN_NONBLOCK | IN_CLOEXEC);
@@ -123,7 +124,7 @@
   return "";
 }
 
-bool Seats::moved(const char* events, std::size_t size, const std::string& name) {
+bool ProcessSlots::moved(const char* events, std::size_t size, const std::string& name) {
   for (std::size_t at = 0; at + sizeof(inotify_event) <= size;) {
     inotify_event event;
     std::memcpy(&event, events + at, sizeof event);
@@ -133,18 +134,18 @@
   return false;
 }
 
-void Seats::publish(const Use& use) {
-  if (!seated()) return;
-  Seat& seat = page_->seats[mine_];
+void ProcessSlots::publish(const Use& use) {
+  if (!has_slot()) return;
+  ProcessSlot& seat = page_->seats[mine_];
   seat.sockets.store(use.sockets, std::memory_order_relaxed);
   seat.bodies.store(use.bodies, std::memory_order_relaxed);
   seat.stage.store(static_cast<std::uint32_t>(use.stage), std::memory_order_release);
 }
 
-std::vector<Use> Seats::others() const {
+std::vector<Use> ProcessSlots::others() const {
   std::vector<Use> out;
-  for (std::size_t i = 0; seated() && i < kSeats; ++i) {
-    Seat& seat = page_->seats[i];
+  for (std::size_t i = 0; has_slot() && i < kMaxProcesses; ++i) {
+    ProcessSlot& seat = page_->seats[i];
     if (static_cast<int>(i) == mine_ || seat.taken.load(std::memory_order_acquire) == 0) continue;
     if (!held(i)) continue;
     const std::uint32_t stage = seat.stage.load(std::memory_order_acquire);
--- a/src/hot_restart/process_slots.h
+++ b/src/hot_restart/process_slots.h
@@ -2,9 +2,9 @@
 // a lock on its bytes, which the kernel takes back when the process ends, however it ends; nobody has to say
 // good bye, and what a dead one left is not counted.
 //
-// The file is of this form: 16 bytes (magic, version, hash of the router's name), then kSeats seats of 64
-// bytes. A file of another form that nobody holds a seat in is made anew; one that somebody does is let be,
-// and this process goes on without a seat.
+// The file is of this form: 16 bytes (magic, version, hash of the router's name), then kMaxProcesses seats of
+// 64 bytes. A file of another form that nobody holds a seat in is made anew; one that somebody does is let
+// be, and this process goes on without a seat.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,18 @@
 
 namespace flintglade::hot_restart {
 
-class Seats {
+class ProcessSlots {
  public:
-  static constexpr std::size_t kSeats = 8;
-  Seats() = default;
-  ~Seats();
-  Seats(const Seats&) = delete;
-  Seats& operator=(const Seats&) = delete;
+  static constexpr std::size_t kMaxProcesses = 8;
+  ProcessSlots() = default;
+  ~ProcessSlots();
+  ProcessSlots(const ProcessSlots&) = delete;
+  ProcessSlots& operator=(const ProcessSlots&) = delete;
 
   // Takes a free seat. Gives an empty string, or one line that says why there is none; it is then as if the
   // process were alone.
   std::string join(const std::string& folder, const std::string& router);
-  bool seated() const { return mine_ >= 0; }
+  bool has_slot() const { return mine_ >= 0; }
   std::size_t seat() const { return static_cast<std::size_t>(mine_); }  // ours, if we have one
   // For the others to read: no system call.
   void publish(const Use& use);
@@ -39,7 +39,7 @@
   static bool moved(const char* events, std::size_t size, const std::string& name);
 
  private:
-  struct Seat;
+  struct ProcessSlot;
   struct Page;
   bool held(std::size_t seat) const;
   void leave();
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -88,7 +88,7 @@
   FIELD(State::Prefix, replicas, p.replicas);
 }
 template <typename Io, typename M>
-void sums(const Io& io, M& m, policy::Learned& l) {
+void sums(const Io& io, M& m, policy::LearnedState& l) {
   FIELD(State::Learned, started, l.started);
   all(io, *m.mutable_stay(), l.stay);
   all(io, *m.mutable_arrived(), l.arrived);
@@ -109,7 +109,7 @@
 }
 #undef FIELD
 
-void write(policy::Learned l, State::Learned& m) {
+void write(policy::LearnedState l, State::Learned& m) {
   const Out io;
   sums(io, m, l);
   for (auto& [id, stay] : l.kinds) {
@@ -152,7 +152,7 @@
 }
 
 // False: it holds what no writer of ours gives.
-bool read(State::Learned& m, policy::Learned& l) {
+bool read(State::Learned& m, policy::LearnedState& l) {
   const In io;
   if (m.kinds_size() > kMostKinds || m.zones_size() > kMostKinds || m.prefixes_size() > kMostPrefixes ||
       m.replicas_size() > kMostReplicas || m.slots_size() > kMostReplicas ||
@@ -198,7 +198,7 @@
 
 }  // namespace
 
-std::string write_state(const core::Broker::Handed& from, const Origin& writer, Micros now) {
+std::string encode_snapshot(const core::Broker::Handed& from, const Origin& writer, Micros now) {
   State state;
   state.set_router(writer.router);
   state.set_discovery(writer.discovery);
@@ -227,27 +227,27 @@
   write(from.learned, *state.mutable_learned());
   const std::string body = state.SerializeAsString();
   std::string out(kMagic, 4);
-  put(out, kStateVersion);
+  put(out, kSnapshotVersion);
   put(out, static_cast<std::uint32_t>(body.size()));
   put(out, checksum(body));
   return out + body;
 }
 
-std::string read_state(std::string_view bytes, const Origin& reader, Micros now, core::Broker::Handed& out,
-                       bool& same_list) {
+std::string decode_snapshot(std::string_view bytes, const Origin& reader, Micros now,
+                            core::Broker::Handed& out, bool& same_list) {
   if (bytes.size() < kHead || bytes.substr(0, 4) != std::string_view(kMagic, 4))
     return "it is no state of a router";
-  if (get(bytes, 4) != kStateVersion) return "it is of version " + std::to_string(get(bytes, 4));
+  if (get(bytes, 4) != kSnapshotVersion) return "it is of version " + std::to_string(get(bytes, 4));
   const std::string_view body = bytes.substr(kHead);
-  if (body.size() > kMostState || body.size() != get(bytes, 8) || checksum(body) != get(bytes, 12))
+  if (body.size() > kMaxSnapshotBytes || body.size() != get(bytes, 8) || checksum(body) != get(bytes, 12))
     return "it is torn";
   State state;
   if (!state.ParseFromArray(body.data(), static_cast<int>(body.size()))) return "it cannot be read";
   if (state.router() != reader.router) return "it is another router's";
   if (std::abs(state.unix_less_monotonic_us() - reader.unix_less_monotonic) > kClocksApart)
     return "its clock is another one";
-  if (state.began_us() >= reader.began) return kOurOwn;
-  if (state.written_us() > now || now - state.written_us() > kStateAge) return "it is old";
+  if (state.began_us() >= reader.began) return kWriterNotOlder;
+  if (state.written_us() > now || now - state.written_us() > kMaxSnapshotAge) return "it is old";
   if (state.replicas_size() > kMostReplicas || state.retired_size() > kMostReplicas) return "it is too large";
   out = {};
   same_list = state.discovery() == reader.discovery;
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -22,20 +22,21 @@
   core::Micros unix_less_monotonic = 0;  // Unix time less the monotonic clock, when the process began
 };
 
-inline constexpr std::uint32_t kStateVersion = 1;
-inline constexpr std::size_t kMostState = 1u << 20;  // bytes; 4,096 prefixes and 300 replicas take 200 KB
-inline constexpr core::Micros kStateAge = 10 * core::kSecond;
+inline constexpr std::uint32_t kSnapshotVersion = 1;
+inline constexpr std::size_t kMaxSnapshotBytes = 1u
+                                                 << 20;  // bytes; 4,096 prefixes and 300 replicas take 200 KB
+inline constexpr core::Micros kMaxSnapshotAge = 10 * core::kSecond;
 // How far Unix times of one machine may lie apart between two starts: clocks are set now and then.
 inline constexpr core::Micros kClocksApart = 50 * core::kMilli;
 
 // What the reader says of a state that a process as young as itself has written: most often, its own.
-inline constexpr char kOurOwn[] = "its writer is no older than this process";
+inline constexpr char kWriterNotOlder[] = "its writer is no older than this process";
 
-std::string write_state(const core::Broker::Handed& from, const Origin& writer, core::Micros now);
+std::string encode_snapshot(const core::Broker::Handed& from, const Origin& writer, core::Micros now);
 
 // Empty, and what it says; or why it says nothing to this reader. same_list: its list comes from where ours
 // does. Everything in out is finite and within bounds that the module can work with.
-std::string read_state(std::string_view bytes, const Origin& reader, core::Micros now,
-                       core::Broker::Handed& out, bool& same_list);
+std::string decode_snapshot(std::string_view bytes, const Origin& reader, core::Micros now,
+                            core::Broker::Handed& out, bool& same_list);
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/snapshot_file.cpp
+++ b/src/hot_restart/snapshot_file.cpp
@@ -40,26 +40,26 @@
 
 }  // namespace
 
-Shelf::Shelf(boost::asio::io_context& io, std::string folder, std::size_t seat)
+SnapshotFile::SnapshotFile(boost::asio::io_context& io, std::string folder, std::size_t seat)
     : io_(io), path_(folder + "/" + kName), draft_(path_ + "." + std::to_string(seat)) {
   boost::asio::post(thread_, [draft = draft_] { ::unlink(draft.c_str()); });  // of a dead one, half written
 }
 
-Shelf::~Shelf() { thread_.join(); }
+SnapshotFile::~SnapshotFile() { thread_.join(); }
 
-void Shelf::save(std::string bytes, std::function<void(std::string)> done) {
+void SnapshotFile::save(std::string bytes, std::function<void(std::string)> done) {
   boost::asio::post(thread_, [this, bytes = std::move(bytes), done = std::move(done)] {
     boost::asio::post(io_, [done, why = write_file(draft_, path_, bytes)] { done(why); });
   });
 }
 
-void Shelf::load(std::size_t most, std::function<void(std::string)> done) {
+void SnapshotFile::load(std::size_t most, std::function<void(std::string)> done) {
   boost::asio::post(thread_, [this, most, done = std::move(done)] {
     boost::asio::post(io_, [done, bytes = read_file(path_, most)] { done(bytes); });
   });
 }
 
-void Shelf::clear() {
+void SnapshotFile::clear() {
   boost::asio::post(thread_, [path = path_] { ::unlink(path.c_str()); });
 }
 
--- a/src/hot_restart/snapshot_file.h
+++ b/src/hot_restart/snapshot_file.h
@@ -9,14 +9,14 @@
 
 namespace flintglade::hot_restart {
 
-class Shelf {
+class SnapshotFile {
  public:
   static constexpr const char* kName = "flintglade.state";
   // seat: of this process; what it is still writing has a name that no other process uses.
-  Shelf(boost::asio::io_context& io, std::string folder, std::size_t seat);
-  ~Shelf();  // waits for what is under way
-  Shelf(const Shelf&) = delete;
-  Shelf& operator=(const Shelf&) = delete;
+  SnapshotFile(boost::asio::io_context& io, std::string folder, std::size_t seat);
+  ~SnapshotFile();  // waits for what is under way
+  SnapshotFile(const SnapshotFile&) = delete;
+  SnapshotFile& operator=(const SnapshotFile&) = delete;
 
   // done, on the loop: empty, or one line that says why it is not there.
   void save(std::string bytes, std::function<void(std::string)> done);
--- a/src/http/connection_eviction.h
+++ b/src/http/connection_eviction.h
@@ -22,7 +22,7 @@
   core::Micros moved = 0;      // when it last brought a byte, or took one
 };
 
-class Crowd {
+class ConnectionEviction {
  public:
   // Who goes first, after how long. An answer has been read by then; a client that still uses the connection
   // sends its request once more on another.
@@ -31,7 +31,7 @@
   // within a round trip, or the wait for one lost segment (200 ms at the least).
   static constexpr core::Micros kStopped = 250 * core::kMilli;
 
-  explicit Crowd(std::size_t room) : room_(room) {}
+  explicit ConnectionEviction(std::size_t room) : room_(room) {}
   bool filling(std::size_t connections) const { return connections > room_ / 2; }
   bool pressing(std::size_t connections) const { return connections > room_ - room_ / 8; }
   std::size_t room() const { return room_; }
--- a/src/http/idle_timer.h
+++ b/src/http/idle_timer.h
@@ -11,13 +11,13 @@
 
 namespace flintglade::http {
 
-class Due {
+class IdleTimer {
  public:
   // Looks at all connections are no closer than this, but for the first.
   static constexpr core::Micros kApart = 100 * core::kMilli;
 
   // ring: looks at what is due, and says by() for what comes next.
-  Due(boost::asio::io_context& io, core::Clock& clock, std::function<void()> ring)
+  IdleTimer(boost::asio::io_context& io, core::Clock& clock, std::function<void()> ring)
       : clock_(clock), timer_(io), ring_(std::move(ring)) {}
 
   // Rings at this time at the latest. Micros of the monotonic clock; kNever changes nothing.
--- a/src/http/replica_client.cpp
+++ b/src/http/replica_client.cpp
@@ -42,9 +42,9 @@
 constexpr Micros kDialAgain = 10 * core::kMilli;  // after a lack of this machine's
 }  // namespace
 
-class HttpSubchannels::Connection : public std::enable_shared_from_this<Connection> {
+class HttpReplicaClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(HttpSubchannels& owner, core::ReplicaId replica)
+  Connection(HttpReplicaClient& owner, core::ReplicaId replica)
       : owner_(&owner), replica_(replica), socket_(owner.io_), dial_(owner.io_), dial_again_(owner.io_) {
     ++owner.connections_;
   }
@@ -279,7 +279,7 @@
     } else {
       owner_->broker_.call_ended(id_, outcome, events_.cached_tokens());
     }
-    HttpSubchannels& owner = *owner_;
+    HttpReplicaClient& owner = *owner_;
     owner.calls_.erase(key(id_));
     busy_ = began_ = paused_ = false;
     rpc_.reset();
@@ -305,7 +305,7 @@
     close();
   }
 
-  HttpSubchannels* owner_;  // empty once closed
+  HttpReplicaClient* owner_;  // empty once closed
   core::ReplicaId replica_;
   tcp::socket socket_;
   tcp::endpoint endpoint_;
@@ -329,20 +329,20 @@
       };
 };
 
-HttpSubchannels::HttpSubchannels(asio::io_context& io, core::Broker& broker, core::Clock& clock,
-                                 SubchannelSettings settings)
+HttpReplicaClient::HttpReplicaClient(asio::io_context& io, core::Broker& broker, core::Clock& clock,
+                                     ReplicaClientSettings settings)
     : io_(io), broker_(broker), clock_(clock), set_(settings), sweeper_(io, clock, [this] { sweep(); }) {}
 
-HttpSubchannels::~HttpSubchannels() {
+HttpReplicaClient::~HttpReplicaClient() {
   for (auto& [id, connection] : calls_) connection->close();
   for (auto& [id, sub] : subs_) drop_idle(sub);
 }
 
-Micros HttpSubchannels::keep_for() const {
+Micros HttpReplicaClient::keep_for() const {
   return std::max(set_.conn_idle / 2, set_.conn_idle - kIdleMargin);
 }
 
-void HttpSubchannels::update(const core::Endpoint& endpoint, Micros no_new_after) {
+void HttpReplicaClient::update(const core::Endpoint& endpoint, Micros no_new_after) {
   Subchannel& sub = subs_[endpoint.replica.id];
   const bool moved = !endpoint.address.empty() && sub.address != endpoint.address;
   if (moved) sub.address = endpoint.address;
@@ -350,8 +350,8 @@
   if (moved || no_new_after != core::kNever) drop_idle(sub);
 }
 
-void HttpSubchannels::call(core::CallId id, core::ReplicaId replica,
-                           std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
+void HttpReplicaClient::call(core::CallId id, core::ReplicaId replica,
+                             std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
   const auto sub = subs_.find(replica);
   const Micros now = clock_.now();
   if (sub == subs_.end() || now >= sub->second.no_new_after) {
@@ -377,7 +377,7 @@
   connection->dial(sub->second.address);
 }
 
-void HttpSubchannels::cancel(core::CallId id) {
+void HttpReplicaClient::cancel(core::CallId id) {
   const auto it = calls_.find(key(id));
   if (it == calls_.end()) return;
   const auto connection = it->second;
@@ -385,30 +385,30 @@
   connection->close();
 }
 
-int HttpSubchannels::describe(core::CallId id, hot_restart::Stream& to) const {
+int HttpReplicaClient::describe(core::CallId id, hot_restart::Stream& to) const {
   const auto it = calls_.find(key(id));
   return it == calls_.end() ? -1 : it->second->describe(to);
 }
-void HttpSubchannels::moved_out(core::CallId id) {
+void HttpReplicaClient::moved_out(core::CallId id) {
   if (const auto node = calls_.extract(key(id))) node.mapped()->moved_out();
 }
-void HttpSubchannels::move_in(core::CallId id, core::ReplicaId replica, int descriptor,
-                              const hot_restart::Stream& from) {
+void HttpReplicaClient::move_in(core::CallId id, core::ReplicaId replica, int descriptor,
+                                const hot_restart::Stream& from) {
   const auto connection = calls_[key(id)] = std::make_shared<Connection>(*this, replica);
   connection->move_in(id, descriptor, from);
 }
 
-void HttpSubchannels::pause(core::CallId id, bool paused) {
+void HttpReplicaClient::pause(core::CallId id, bool paused) {
   const auto it = calls_.find(key(id));
   if (it != calls_.end()) it->second->pause(paused);
 }
 
-void HttpSubchannels::drop_idle(Subchannel& sub) {
+void HttpReplicaClient::drop_idle(Subchannel& sub) {
   for (const auto& connection : sub.idle) connection->close();
   sub.idle.clear();
 }
 
-bool HttpSubchannels::shed_idle() {
+bool HttpReplicaClient::shed_idle() {
   Subchannel* oldest = nullptr;
   for (auto& [id, sub] : subs_) {
     if (sub.idle.empty()) continue;
@@ -421,7 +421,7 @@
   return true;
 }
 
-void HttpSubchannels::sweep() {
+void HttpReplicaClient::sweep() {
   const Micros now = clock_.now();
   Micros next = core::kNever;
   std::vector<std::shared_ptr<Connection>> spoilt;
@@ -440,7 +440,7 @@
     }
     if (!sub.idle.empty()) next = std::min(next, sub.idle.front()->idle_since() + keep_for());
   }
-  sweeper_.by(std::max(next, now + Due::kApart));
+  sweeper_.by(std::max(next, now + IdleTimer::kApart));
 }
 
 }  // namespace flintglade::http
--- a/src/http/replica_client.h
+++ b/src/http/replica_client.h
@@ -16,17 +16,17 @@
 
 namespace flintglade::http {
 
-struct SubchannelSettings {
+struct ReplicaClientSettings {
   core::Micros dial_timeout = 150 * core::kMilli;
   core::Micros conn_idle = 5 * core::kSecond;  // the replica closes a connection idle for this long
   std::function<std::size_t()> room;           // how many connections it may hold at present
 };
 
-class HttpSubchannels final : public core::Subchannels {
+class HttpReplicaClient final : public core::Subchannels {
  public:
-  HttpSubchannels(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
-                  SubchannelSettings settings);
-  ~HttpSubchannels() override;
+  HttpReplicaClient(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
+                    ReplicaClientSettings settings);
+  ~HttpReplicaClient() override;
 
   void update(const core::Endpoint& endpoint, core::Micros no_new_after) override;
   void call(core::CallId id, core::ReplicaId replica, std::shared_ptr<const core::RpcRequest> rpc,
@@ -63,8 +63,8 @@
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
-  SubchannelSettings set_;
-  Due sweeper_;
+  ReplicaClientSettings set_;
+  IdleTimer sweeper_;
   std::unordered_map<core::ReplicaId, Subchannel> subs_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> calls_;
   std::size_t connections_ = 0;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -81,9 +81,9 @@
 
 }  // namespace
 
-class HttpFront::Connection final : public core::Channel, public std::enable_shared_from_this<Connection> {
+class HttpServer::Connection final : public core::Channel, public std::enable_shared_from_this<Connection> {
  public:
-  Connection(HttpFront& owner, tcp::socket socket)
+  Connection(HttpServer& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), end_(socket_.get_executor()) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
@@ -232,7 +232,7 @@
   void drop() {
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
-    HttpFront& owner = *std::exchange(owner_, nullptr);
+    HttpServer& owner = *std::exchange(owner_, nullptr);
     if (rpc_ != 0) owner.broker_.client_gone(rpc_);
     error_code ignored;
     end_.cancel();
@@ -428,7 +428,7 @@
     return !half_ && (wanted_back_ || owner_->broker_.phase() != core::Phase::serving);
   }
 
-  HttpFront* owner_;  // empty once closed
+  HttpServer* owner_;  // empty once closed
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<beast_http::request_parser<beast_http::string_body>> parser_;
@@ -449,7 +449,8 @@
   bool broken_off_ = false;     // its answer ended without its last chunk
 };
 
-HttpFront::HttpFront(asio::io_context& io, core::Broker& broker, core::Clock& clock, FrontSettings settings)
+HttpServer::HttpServer(asio::io_context& io, core::Broker& broker, core::Clock& clock,
+                       ServerSettings settings)
     : io_(io),
       broker_(broker),
       clock_(clock),
@@ -458,46 +459,46 @@
       sweeper_(io, clock, [this] { sweep(); }),
       again_(io) {}
 
-HttpFront::~HttpFront() {
+HttpServer::~HttpServer() {
   accepting_ = true;  // drop() is not to accept anew
   while (!connections_.empty()) (*connections_.begin())->drop();
 }
 
-std::string HttpFront::listen(const config::HostPort& at) {
+std::string HttpServer::listen(const config::HostPort& at) {
   const std::string error = http::listen(acceptor_, at);
   if (error.empty()) begin();
   return error;
 }
-std::string HttpFront::listen(int descriptor, std::function<bool()> open) {
+std::string HttpServer::listen(int descriptor, std::function<bool()> open) {
   const std::string error = adopt(acceptor_, descriptor);
   open_ = std::move(open);
   if (error.empty()) begin();
   return error;
 }
-void HttpFront::begin() {
+void HttpServer::begin() {
   port_ = acceptor_.local_endpoint().port();
   accept();
 }
-void HttpFront::resume() {
+void HttpServer::resume() {
   if (!accepting_ && acceptor_.is_open()) accept();
 }
-void HttpFront::look() {
+void HttpServer::look() {
   resume();
   if (wants_room()) sweeper_.by(clock_.now());
 }
 // What has been accepted is served; what waits in the queue is another process's.
-void HttpFront::stop_accepting() {
+void HttpServer::stop_accepting() {
   error_code ignored;
   acceptor_.close(ignored);
 }
 
-void HttpFront::accept() {
+void HttpServer::accept() {
   // Past the budget of descriptors a few more are let in, to be told so; beyond them new clients wait in the
   // listener's queue until a connection ends.
-  const Crowd crowd = this->crowd();
+  const ConnectionEviction crowd = this->crowd();
   if (crowd.pressing(connections_.size())) make_room(crowd);
   accepting_ = acceptor_.is_open() && (!open_ || open_()) && connections_.size() < crowd.room() + set_.crowd;
-  if (wants_room()) sweeper_.by(clock_.now() + Due::kApart);
+  if (wants_room()) sweeper_.by(clock_.now() + IdleTimer::kApart);
   if (!accepting_) return;
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
@@ -513,23 +514,23 @@
   });
 }
 
-void HttpFront::accept_later() {
+void HttpServer::accept_later() {
   again_.expires_after(std::chrono::milliseconds(20));
   again_.async_wait([this](error_code ec) {
     if (!ec) accept();
   });
 }
 
-bool HttpFront::crowded() const { return over_budget() && broker_.open_rpcs() >= set_.room(); }
+bool HttpServer::crowded() const { return over_budget() && broker_.open_rpcs() >= set_.room(); }
 // Quiet connections are to go, or nobody can be let in: that is looked at now and again.
-bool HttpFront::wants_room() const {
+bool HttpServer::wants_room() const {
   return crowd().filling(connections_.size()) || (!accepting_ && acceptor_.is_open());
 }
-bool HttpFront::over_budget() const { return connections_.size() > set_.room(); }
+bool HttpServer::over_budget() const { return connections_.size() > set_.room(); }
 
 // Clients may ask once and hold their connection for good, or never ask: http/connection_eviction.h says who
 // goes, and when.
-void HttpFront::make_room(const Crowd& crowd) {
+void HttpServer::make_room(const ConnectionEviction& crowd) {
   const Micros now = clock_.now();
   if (!crowd.filling(connections_.size())) return;
   struct Leaver {
@@ -541,8 +542,10 @@
   const bool pressing = crowd.pressing(connections_.size());
   for (const auto& c : connections_) {
     const Client client = c->client();
-    const int order = pressing ? Crowd::order(client, now) : c->quiet(now) ? 0 : Crowd::kNobody;
-    if (order != Crowd::kNobody) leavers.push_back({order, client.moved, c});
+    const int order = pressing        ? ConnectionEviction::order(client, now)
+                      : c->quiet(now) ? 0
+                                      : ConnectionEviction::kNobody;
+    if (order != ConnectionEviction::kNobody) leavers.push_back({order, client.moved, c});
   }
   std::sort(leavers.begin(), leavers.end(), [](const Leaver& a, const Leaver& b) {
     return a.order != b.order ? a.order < b.order : a.moved < b.moved;
@@ -555,12 +558,12 @@
   accepting_ = was_accepting;
 }
 
-int HttpFront::describe(core::Channel& client, hot_restart::Stream& to) {
+int HttpServer::describe(core::Channel& client, hot_restart::Stream& to) {
   return static_cast<Connection&>(client).describe(to);
 }
-void HttpFront::moved_out(core::Channel& client) { static_cast<Connection&>(client).moved_out(); }
-void HttpFront::move_in(int descriptor, const hot_restart::Stream& from,
-                        const std::function<core::RpcId(std::shared_ptr<core::Channel>)>& go_on) {
+void HttpServer::moved_out(core::Channel& client) { static_cast<Connection&>(client).moved_out(); }
+void HttpServer::move_in(int descriptor, const hot_restart::Stream& from,
+                         const std::function<core::RpcId(std::shared_ptr<core::Channel>)>& go_on) {
   error_code ec;
   tcp::socket socket(io_);
   socket.assign(protocol_of(descriptor), descriptor, ec);
@@ -569,26 +572,26 @@
   connection->move_in(from, go_on(connection));
 }
 
-std::size_t HttpFront::half_read() const {
+std::size_t HttpServer::half_read() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& c) { return c->half_read(); }));
 }
 
-void HttpFront::refuse_half_read() {
+void HttpServer::refuse_half_read() {
   std::vector<std::shared_ptr<Connection>> half;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(half),
                [](const auto& c) { return c->half_read(); });
   for (const auto& c : half) c->make_way();
 }
 
-void HttpFront::close_idle() {
+void HttpServer::close_idle() {
   std::vector<std::shared_ptr<Connection>> idle;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(idle),
                [](const auto& c) { return c->idle(); });
   for (const auto& c : idle) c->drop();
 }
 
-void HttpFront::sweep() {
+void HttpServer::sweep() {
   const Micros now = clock_.now();
   std::vector<std::shared_ptr<Connection>> expired;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(expired),
@@ -599,7 +602,7 @@
   resume();
   Micros next = core::kNever;
   for (const auto& c : connections_) next = std::min(next, c->due());
-  sweeper_.by(wants_room() ? now + Due::kApart : std::max(next, now + Due::kApart));
+  sweeper_.by(wants_room() ? now + IdleTimer::kApart : std::max(next, now + IdleTimer::kApart));
 }
 
 }  // namespace flintglade::http
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -17,16 +17,16 @@
 
 namespace flintglade::http {
 
-struct FrontSettings {
+struct ServerSettings {
   config::Labels labels;
   std::function<std::size_t()> room;  // how many connections it may hold at present
   std::size_t crowd = 32;             // let in beyond that, only to be told to come again
 };
 
-class HttpFront {
+class HttpServer {
  public:
-  HttpFront(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock, FrontSettings settings);
-  ~HttpFront();
+  HttpServer(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock, ServerSettings settings);
+  ~HttpServer();
   // Each gives an empty string, or one line that says what is wrong.
   std::string listen(const config::HostPort& at);
   // From a socket that other processes may accept from too: only while open() says so.
@@ -59,15 +59,15 @@
   bool crowded() const;
   bool over_budget() const;
   bool wants_room() const;
-  Crowd crowd() const { return Crowd(set_.room()); }
-  void make_room(const Crowd& crowd);
+  ConnectionEviction crowd() const { return ConnectionEviction(set_.room()); }
+  void make_room(const ConnectionEviction& crowd);
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
-  FrontSettings set_;
+  ServerSettings set_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  Due sweeper_;
+  IdleTimer sweeper_;
   boost::asio::steady_timer again_;
   std::function<bool()> shed_;
   std::set<std::shared_ptr<Connection>> connections_;
--- a/src/http/stream_migration.cpp
+++ b/src/http/stream_migration.cpp
@@ -4,10 +4,10 @@
 
 namespace flintglade::http {
 
-void Moves::out(const Offer& offer) {
+void StreamMigration::out(const Offer& offer) {
   for (const core::Broker::Running& r : broker_.running(core::Wire::http)) {
     hot_restart::Stream stream;
-    const Descriptors fds{HttpFront::describe(*r.channel, stream), replicas_.describe(r.call, stream)};
+    const Descriptors fds{HttpServer::describe(*r.channel, stream), replicas_.describe(r.call, stream)};
     if (fds[0] < 0 || fds[1] < 0) continue;
     stream.set_trace_id(r.request->trace_id);
     stream.set_klass(r.request->klass);
@@ -17,12 +17,12 @@
     stream.set_last_event_us(r.last_event);
     if (!offer(stream.SerializeAsString(), fds)) return;
     replicas_.moved_out(r.call);
-    HttpFront::moved_out(*r.channel);
+    HttpServer::moved_out(*r.channel);
     broker_.moved_out(r);
   }
 }
 
-void Moves::in(std::string_view bytes, Descriptors descriptors) {
+void StreamMigration::in(std::string_view bytes, Descriptors descriptors) {
   const auto [client, replica] = descriptors;
   hot_restart::Stream stream;
   if (!stream.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || stream.trace_id().empty()) {
--- a/src/http/stream_migration.h
+++ b/src/http/stream_migration.h
@@ -12,13 +12,13 @@
 
 namespace flintglade::http {
 
-class Moves {
+class StreamMigration {
  public:
   using Descriptors = std::array<int, 2>;  // the client's, then the replica's
   // Offers one answer to another process; true: it has it, with copies of both descriptors.
   using Offer = std::function<bool(std::string_view bytes, Descriptors descriptors)>;
 
-  Moves(core::Broker& broker, HttpFront& front, HttpSubchannels& replicas)
+  StreamMigration(core::Broker& broker, HttpServer& front, HttpReplicaClient& replicas)
       : broker_(broker), front_(front), replicas_(replicas) {}
 
   // Offers each answer that can move at this moment, up to the first that is not taken. Call it when no
@@ -30,8 +30,8 @@
 
  private:
   core::Broker& broker_;
-  HttpFront& front_;
-  HttpSubchannels& replicas_;
+  HttpServer& front_;
+  HttpReplicaClient& replicas_;
 };
 
 }  // namespace flintglade::http
--- a/src/kserve/models.cpp
+++ b/src/kserve/models.cpp
@@ -37,7 +37,7 @@
   return it == versions.end() ? kNone : *it;
 }
 
-const Model* FrontSettings::find(std::string_view name, std::string_view version) const {
+const Model* ServerSettings::find(std::string_view name, std::string_view version) const {
   const auto it = std::find_if(models.begin(), models.end(), [&](const Model& m) { return m.name == name; });
   if (it == models.end()) return nullptr;
   const bool known = version.empty() || it->versions.empty() ||
@@ -45,8 +45,8 @@
   return known ? &*it : nullptr;
 }
 
-FrontSettings front_settings(const deploy::KServe& file) {
-  FrontSettings out;
+ServerSettings front_settings(const deploy::KServe& file) {
+  ServerSettings out;
   config::parse_host_port(file.listen(), out.listen);
   out.replica_port = static_cast<std::uint16_t>(file.replica_port());
   for (const deploy::Model& m : file.models()) {
--- a/src/kserve/models.h
+++ b/src/kserve/models.h
@@ -46,7 +46,7 @@
 struct Bound {  // a certificate with this name speaks for this tenant
   std::string san, tenant, klass;
 };
-struct FrontSettings {
+struct ServerSettings {
   config::HostPort listen;
   // Where replicas speak gRPC: this port at the address that discovery gives; 0: the very endpoint.
   std::uint16_t replica_port = 0;
@@ -66,6 +66,6 @@
 // Of a file that operator_file::parse has checked.
 tls::Files front_files(const deploy::KServe& file);
 tls::Files replica_files(const deploy::KServe& file);
-FrontSettings front_settings(const deploy::KServe& file);
+ServerSettings front_settings(const deploy::KServe& file);
 
 }  // namespace flintglade::kserve
--- a/src/kserve/replica_client.cpp
+++ b/src/kserve/replica_client.cpp
@@ -28,7 +28,7 @@
 
 // gRPC may not send anything again by itself (each arrival at a replica is an attempt), nor wait long before
 // it connects anew, nor look for a proxy.
-std::shared_ptr<grpc::Channel> open_channel(const config::HostPort& at, const SubchannelSettings& set) {
+std::shared_ptr<grpc::Channel> open_channel(const config::HostPort& at, const ReplicaClientSettings& set) {
   const std::string target = channel_target(at);
   grpc::ChannelArguments args;
   args.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
@@ -53,10 +53,11 @@
 
 // One call attempt. Both methods are run as a stream of messages, which is what they are on the wire. What
 // the reactor is told on gRPC's threads is posted to the loop; every member but the buffers lives there.
-class GrpcSubchannels::Call final : public grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer>,
-                                    public std::enable_shared_from_this<Call> {
+class GrpcReplicaClient::Call final : public grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer>,
+                                      public std::enable_shared_from_this<Call> {
  public:
-  Call(GrpcSubchannels& owner, core::CallId id, std::shared_ptr<const core::RpcRequest> rpc, Micros patience)
+  Call(GrpcReplicaClient& owner, core::CallId id, std::shared_ptr<const core::RpcRequest> rpc,
+       Micros patience)
       : owner_(owner), io_(owner.io_), id_(id), rpc_(std::move(rpc)), dial_(owner.io_) {
     streams_ = rpc_->target == kStreamInfer;
     context_.AddMetadata(kTrace, header_value(rpc_->trace_id));
@@ -175,7 +176,7 @@
     owner_.broker_.call_ended(id_, outcome, kept);
   }
 
-  GrpcSubchannels& owner_;
+  GrpcReplicaClient& owner_;
   boost::asio::io_context& io_;
   core::CallId id_;
   std::shared_ptr<const core::RpcRequest> rpc_;
@@ -188,12 +189,12 @@
        dropped_ = false, let_go_ = false;
 };
 
-GrpcSubchannels::GrpcSubchannels(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
-                                 SubchannelSettings settings)
+GrpcReplicaClient::GrpcReplicaClient(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
+                                     ReplicaClientSettings settings)
     : io_(io), broker_(broker), clock_(clock), set_(std::move(settings)) {}
-GrpcSubchannels::~GrpcSubchannels() = default;
+GrpcReplicaClient::~GrpcReplicaClient() = default;
 
-void GrpcSubchannels::update(const core::Endpoint& endpoint, Micros no_new_after) {
+void GrpcReplicaClient::update(const core::Endpoint& endpoint, Micros no_new_after) {
   Subchannel& sub = subs_[endpoint.replica.id];
   if (!endpoint.address.empty() && sub.address != endpoint.address) {
     sub.address = endpoint.address;
@@ -204,7 +205,7 @@
   if (endpoint.replica.health == policy::Health::gone) sub.channel.reset();  // calls under way keep it
 }
 
-std::shared_ptr<grpc::Channel> GrpcSubchannels::channel(Subchannel& sub) {
+std::shared_ptr<grpc::Channel> GrpcReplicaClient::channel(Subchannel& sub) {
   config::HostPort at;
   if (sub.channel || !config::parse_host_port(sub.address, at)) return sub.channel;
   if (set_.replica_port != 0) at.port = set_.replica_port;
@@ -212,9 +213,9 @@
 }
 
 // Lives until it is answered.
-class GrpcSubchannels::Question final : public std::enable_shared_from_this<Question> {
+class GrpcReplicaClient::Question final : public std::enable_shared_from_this<Question> {
  public:
-  Question(GrpcSubchannels& owner, std::string method, std::string question, Asked answered)
+  Question(GrpcReplicaClient& owner, std::string method, std::string question, Asked answered)
       : owner_(owner),
         method_(std::move(method)),
         question_(to_buffer(question)),
@@ -240,7 +241,7 @@
     if (!answer && tries_ < kQuestionTries) return ask();
     answered_(status, status.ok() ? to_string(answer_) : "");
   }
-  GrpcSubchannels& owner_;
+  GrpcReplicaClient& owner_;
   std::string method_;
   grpc::ByteBuffer question_, answer_;
   Asked answered_;
@@ -249,7 +250,7 @@
   int tries_ = 0;
 };
 
-std::shared_ptr<grpc::Channel> GrpcSubchannels::next_ready() {
+std::shared_ptr<grpc::Channel> GrpcReplicaClient::next_ready() {
   // The first ready one behind the last that was asked, around the ring of ids.
   Subchannel* next = nullptr;
   core::ReplicaId best = 0;
@@ -265,16 +266,16 @@
   return channel(*next);
 }
 
-void GrpcSubchannels::ask(std::string method, std::string question, Asked answered) {
+void GrpcReplicaClient::ask(std::string method, std::string question, Asked answered) {
   std::make_shared<Question>(*this, std::move(method), std::move(question), std::move(answered))->ask();
 }
 
-void GrpcSubchannels::renew() {
+void GrpcReplicaClient::renew() {
   for (auto& [id, sub] : subs_) sub.channel.reset();
 }
 
-void GrpcSubchannels::call(core::CallId id, core::ReplicaId replica,
-                           std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
+void GrpcReplicaClient::call(core::CallId id, core::ReplicaId replica,
+                             std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
   const auto it = subs_.find(replica);
   const Micros now = clock_.now();
   if (it == subs_.end() || now >= it->second.no_new_after)
@@ -287,7 +288,7 @@
   call->start(open, std::min(set_.dial_timeout, sub.no_new_after - now));
 }
 
-void GrpcSubchannels::cancel(core::CallId id) {
+void GrpcReplicaClient::cancel(core::CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   const auto call = it->second;
@@ -295,7 +296,7 @@
   call->cancel();
 }
 
-void GrpcSubchannels::pause(core::CallId id, bool paused) {
+void GrpcReplicaClient::pause(core::CallId id, bool paused) {
   const auto it = calls_.find(id);
   if (it != calls_.end()) it->second->pause(paused);
 }
--- a/src/kserve/replica_client.h
+++ b/src/kserve/replica_client.h
@@ -17,7 +17,7 @@
 
 namespace flintglade::kserve {
 
-struct SubchannelSettings {
+struct ReplicaClientSettings {
   core::Micros dial_timeout = 150 * core::kMilli;
   std::uint16_t replica_port = 0;  // 0: replicas speak gRPC at the very endpoint that discovery gives
   core::Micros ping = 0;           // HTTP/2 keep-alive while a call is open; 0: none
@@ -25,11 +25,11 @@
   std::string server_name;  // which certificates must have; empty: the replica's address
 };
 
-class GrpcSubchannels final : public core::Subchannels {
+class GrpcReplicaClient final : public core::Subchannels {
  public:
-  GrpcSubchannels(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
-                  SubchannelSettings settings);
-  ~GrpcSubchannels() override;
+  GrpcReplicaClient(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
+                    ReplicaClientSettings settings);
+  ~GrpcReplicaClient() override;
 
   void update(const core::Endpoint& endpoint, core::Micros no_new_after) override;
   void call(core::CallId id, core::ReplicaId replica, std::shared_ptr<const core::RpcRequest> rpc,
@@ -61,7 +61,7 @@
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
-  SubchannelSettings set_;
+  ReplicaClientSettings set_;
   std::unordered_map<core::ReplicaId, Subchannel> subs_;
   std::map<core::CallId, std::shared_ptr<Call>> calls_;
   std::size_t unfinished_ = 0;
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 // One request of a call, and the core's channel to it. Lives on the loop.
-class GrpcFront::Exchange final : public core::Channel, public std::enable_shared_from_this<Exchange> {
+class GrpcServer::Exchange final : public core::Channel, public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(Call& call, std::string id, std::string model)
       : call_(&call), id_(std::move(id)), model_(std::move(model)) {}
@@ -70,10 +70,10 @@
 // One call of ModelInfer or ModelStreamInfer. A stream carries any number of requests, several of them open
 // at once; their answers share its one order, each request's own order kept. Lives on the loop, but for what
 // the reactor is told, which is posted there.
-class GrpcFront::Call final : public grpc::ServerGenericBidiReactor,
-                              public std::enable_shared_from_this<Call> {
+class GrpcServer::Call final : public grpc::ServerGenericBidiReactor,
+                               public std::enable_shared_from_this<Call> {
  public:
-  Call(GrpcFront& owner, grpc::GenericCallbackServerContext* context)
+  Call(GrpcServer& owner, grpc::GenericCallbackServerContext* context)
       : owner_(owner),
         io_(owner.io_),
         context_(context),
@@ -333,7 +333,7 @@
     std::shared_ptr<Exchange> of;
   };
 
-  GrpcFront& owner_;
+  GrpcServer& owner_;
   boost::asio::io_context& io_;
   grpc::GenericCallbackServerContext* context_;
   std::shared_ptr<Call> self_;
@@ -350,11 +350,11 @@
        cancelled_ = false;
 };
 
-bool GrpcFront::Exchange::start(std::shared_ptr<const core::RpcRequest> rpc) {
+bool GrpcServer::Exchange::start(std::shared_ptr<const core::RpcRequest> rpc) {
   rpc_ = call_->broker().arrived(std::move(rpc), shared_from_this());
   return rpc_ != 0;
 }
-bool GrpcFront::Exchange::pass(std::string_view message) {
+bool GrpcServer::Exchange::pass(std::string_view message) {
   // The core may have an event in the very turn in which it learns that the client is gone. Seen under a
   // storm of cancels: the call had let go of its exchanges by then.
   if (call_ == nullptr) return true;
@@ -363,26 +363,26 @@
   held_up_ = held_up_ || backlog_ > kBacklog;
   return !held_up_;
 }
-void GrpcFront::Exchange::written(std::size_t bytes) {
+void GrpcServer::Exchange::written(std::size_t bytes) {
   backlog_ -= std::min(backlog_, bytes);
   if (!held_up_ || backlog_ > 0) return;
   held_up_ = false;
   if (call_ != nullptr) call_->broker().writable(rpc_);
 }
-void GrpcFront::Exchange::finish() {
+void GrpcServer::Exchange::finish() {
   if (Call* call = std::exchange(call_, nullptr)) call->done(shared_from_this());
 }
-void GrpcFront::Exchange::fail_with(Status status, Micros retry_after) {
+void GrpcServer::Exchange::fail_with(Status status, Micros retry_after) {
   if (Call* call = std::exchange(call_, nullptr))
     call->failed(shared_from_this(), id_, model_, std::move(status), retry_after);
 }
-void GrpcFront::Exchange::drop() {
+void GrpcServer::Exchange::drop() {
   if (Call* call = std::exchange(call_, nullptr)) call->broker().client_gone(rpc_);
 }
 
-class GrpcFront::Infer final : public grpc::CallbackGenericService {
+class GrpcServer::Infer final : public grpc::CallbackGenericService {
  public:
-  explicit Infer(GrpcFront& owner) : owner_(owner) {}
+  explicit Infer(GrpcServer& owner) : owner_(owner) {}
   grpc::ServerGenericBidiReactor* CreateReactor(grpc::GenericCallbackServerContext* context) override {
     const auto call = std::make_shared<Call>(owner_, context);
     call->start();
@@ -390,11 +390,11 @@
   }
 
  private:
-  GrpcFront& owner_;
+  GrpcServer& owner_;
 };
 
 // The calls that say how the router is. Their answers are made on the loop, where the phase is known.
-class GrpcFront::Standard final
+class GrpcServer::Standard final
     : public inference::GRPCInferenceService::WithCallbackMethod_ServerLive<
           inference::GRPCInferenceService::WithCallbackMethod_ServerReady<
               inference::GRPCInferenceService::WithCallbackMethod_ModelReady<
@@ -404,7 +404,7 @@
                               inference::GRPCInferenceService::WithGenericMethod_ModelStreamInfer<
                                   inference::GRPCInferenceService::Service>>>>>>> {
  public:
-  explicit Standard(GrpcFront& owner) : owner_(owner) {}
+  explicit Standard(GrpcServer& owner) : owner_(owner) {}
 
   grpc::ServerUnaryReactor* ServerLive(grpc::CallbackServerContext* context,
                                        const inference::ServerLiveRequest*,
@@ -472,11 +472,11 @@
     boost::asio::post(owner_.io_, [reactor, make = std::move(make)] { reactor->Finish(make()); });
     return reactor;
   }
-  GrpcFront& owner_;
+  GrpcServer& owner_;
 };
 
-GrpcFront::GrpcFront(boost::asio::io_context& io, core::Broker& broker, FrontSettings file,
-                     config::Labels labels, std::string name, const tls::CertificateProvider* keys)
+GrpcServer::GrpcServer(boost::asio::io_context& io, core::Broker& broker, ServerSettings file,
+                       config::Labels labels, std::string name, const tls::CertificateProvider* keys)
     : io_(io),
       broker_(broker),
       file_(std::move(file)),
@@ -494,15 +494,15 @@
       descriptions_({file_.replica_metadata.entries, static_cast<Micros>(file_.replica_metadata.ttl_s * 1e6),
                      static_cast<Micros>(file_.replica_metadata.stale_s * 1e6)}) {}
 
-GrpcFront::~GrpcFront() { stop(); }
+GrpcServer::~GrpcServer() { stop(); }
 
-void GrpcFront::ask_replicas(core::Clock& clock, Ask ask) {
+void GrpcServer::ask_replicas(core::Clock& clock, Ask ask) {
   clock_ = &clock;
   ask_ = std::move(ask);
 }
 
 // The response has what the file says already; where the file is silent, a replica's word is put in.
-bool GrpcFront::answer_from_cache(const Descriptions::Key& key, const Waiting& question) {
+bool GrpcServer::answer_from_cache(const Descriptions::Key& key, const Waiting& question) {
   const Descriptions::Found found = descriptions_.find(key, clock_->now());
   if (found.state == Descriptions::State::absent) return false;
   if (found.state == Descriptions::State::unknown) {
@@ -518,7 +518,7 @@
   return true;
 }
 
-void GrpcFront::describe(Descriptions::Key key, Waiting question) {
+void GrpcServer::describe(Descriptions::Key key, Waiting question) {
   const auto none = [](const Waiting& w) {
     w.context->AddTrailingMetadata(kPushback, kFullPushback);
     w.reactor->Finish(Status(StatusCode::UNAVAILABLE, "no replica has described the model yet"));
@@ -555,7 +555,7 @@
        });
 }
 
-std::string GrpcFront::listen() {
+std::string GrpcServer::listen() {
   standard_ = std::make_unique<Standard>(*this);
   infer_ = std::make_unique<Infer>(*this);
   // Both are plugins of the library, for every server built from here on.
@@ -599,7 +599,7 @@
   return "";
 }
 
-void GrpcFront::reload(FrontSettings fresh) {
+void GrpcServer::reload(ServerSettings fresh) {
   fresh.listen = file_.listen;
   fresh.replica_port = file_.replica_port;
   fresh.reflection = file_.reflection;
@@ -618,7 +618,7 @@
 
 // grpc.health.v1 answers Check and Watch by the library; this tells it what has changed. By service: the
 // whole server, the inference service, and each model by its name.
-void GrpcFront::tell_health() {
+void GrpcServer::tell_health() {
   auto* service = server_->GetHealthCheckService();
   if (service == nullptr) return;
   const bool ready = broker_.ready() && !closing_;
@@ -636,14 +636,14 @@
   });
 }
 
-void GrpcFront::close_idle() {
+void GrpcServer::close_idle() {
   closing_ = true;
   for (const auto& call : calls_) {
     if (call->idle()) call->end(Status(StatusCode::UNAVAILABLE, "going down"));
   }
 }
 
-void GrpcFront::stop() {
+void GrpcServer::stop() {
   if (!server_) return;
   close_idle();
   connections_.stop();
--- a/src/kserve/server.h
+++ b/src/kserve/server.h
@@ -24,16 +24,16 @@
 
 namespace flintglade::kserve {
 
-class GrpcFront {
+class GrpcServer {
  public:
   // keys: of the server; null: it speaks without encryption.
-  GrpcFront(boost::asio::io_context& io, core::Broker& broker, FrontSettings file, config::Labels labels,
-            std::string name, const tls::CertificateProvider* keys = nullptr);
-  ~GrpcFront();
+  GrpcServer(boost::asio::io_context& io, core::Broker& broker, ServerSettings file, config::Labels labels,
+             std::string name, const tls::CertificateProvider* keys = nullptr);
+  ~GrpcServer();
   std::string listen();  // empty, or one line that says what is wrong
   int port() const { return port_; }
   // Models, mapping and checks change live; where it listens, and reflection, do not.
-  void reload(FrontSettings fresh);
+  void reload(ServerSettings fresh);
   // Where replicas' word on models comes from, for models that the file does not describe.
   using Answered = std::function<void(const grpc::Status&, std::string)>;
   using Ask = std::function<void(std::string method, std::string question, Answered)>;
@@ -69,7 +69,7 @@
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
-  FrontSettings file_;
+  ServerSettings file_;
   config::Labels labels_;
   std::string name_;
   const tls::CertificateProvider* keys_;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -16,7 +16,7 @@
 class Admission {
  public:
   // learned: where the admitted part and the recent answers are kept; it and the settings outlive this.
-  Admission(const Settings& settings, Learned& learned) : settings_(settings), learned_(learned) {}
+  Admission(const Settings& settings, LearnedState& learned) : settings_(settings), learned_(learned) {}
   void remember_for(double span) { span_ = span; }  // seconds of recent answers
 
   // Whether this new request is rejected. random: 0 to 1, its own.
@@ -30,7 +30,7 @@
 
  private:
   const Settings& settings_;
-  Learned& learned_;
+  LearnedState& learned_;
   double span_ = 1.0;
 };
 
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -139,8 +139,8 @@
   }
 
   // ---- from one process to the next -----------------------------------------------------------------------
-  Learned learned() const {
-    Learned out = past_;
+  LearnedState learned() const {
+    LearnedState out = past_;
     for (const Replica& r : replicas_) {
       if (r.worker.health != Health::gone) out.replicas[r.worker.id] = r;
     }
@@ -149,7 +149,7 @@
     return out;
   }
   // All but what is out: that is counted where it was sent.
-  void adopt(Learned from) {
+  void adopt(LearnedState from) {
     if (from.waits.size() != set_.classes.size() || from.quota_at.size() != set_.tenants.size()) return;
     from.stay.out = past_.stay.out;
     for (auto& [kind, stay] : from.kinds) stay.out = past_.kinds[kind].out;
@@ -765,7 +765,7 @@
   std::vector<Replica> replicas_;
   std::map<WorkerId, int> index_;
   std::vector<double> sizes_, pulls_;
-  Learned past_;
+  LearnedState past_;
   Admission admission_{set_, past_};
   double sized_ = 0.0, largest_ = 0.0, quotas_ = 0.0;
   SlotTable all_, own_;
@@ -789,8 +789,8 @@
 void Balancer::on_gone(double now, RequestId id, ActionSink& s) { impl_->begin(now, s).on_gone(id); }
 void Balancer::on_wake(double t, std::uint64_t cookie, ActionSink& s) { impl_->begin(t, s).on_wake(cookie); }
 void Balancer::on_pong(double now, const Pong&, ActionSink& s) { impl_->begin(now, s); }
-Learned Balancer::learned() const { return impl_->learned(); }
-void Balancer::adopt(double now, Learned l, ActionSink& s) { impl_->begin(now, s).adopt(std::move(l)); }
+LearnedState Balancer::learned() const { return impl_->learned(); }
+void Balancer::adopt(double now, LearnedState l, ActionSink& s) { impl_->begin(now, s).adopt(std::move(l)); }
 void Balancer::on_warning(double t, WorkerId id, double span) { impl_->on_warning(t, id, span); }
 std::size_t Balancer::avoided(double now) const { return impl_->avoided(now); }
 void Balancer::on_peer(double now, std::uint32_t, std::string_view, ActionSink& s) { impl_->begin(now, s); }
--- a/src/policy/learned_state.h
+++ b/src/policy/learned_state.h
@@ -33,7 +33,7 @@
   double mean = 0.2, spread = 0.15;
 };
 
-struct Learned {
+struct LearnedState {
   double started = 0.0;  // of the first Balancer in the row
   // By kind of machine, by zone, by prefix, by class, by tenant.
   std::map<std::uint32_t, double> live_top;
--- a/src/shared/health_gossip.cpp
+++ b/src/shared/health_gossip.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint32_t kMostInARow = 1000;
 }  // namespace
 
-void Witness::call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) {
+void HealthObserver::call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) {
   using policy::Outcome;
   if (outcome == Outcome::ok) return first_event(now, replica);
   // A refusal says that it is full, and what we gave up ourselves says nothing.
@@ -22,7 +22,7 @@
   if (k.failed >= kBadFrom) changed_ = changed_ || !std::exchange(k.was_bad, true);
 }
 
-void Witness::first_event(Micros now, core::ReplicaId replica) {
+void HealthObserver::first_event(Micros now, core::ReplicaId replica) {
   if (known_.size() >= kMostKnown) prune(now);
   Known& k = known_[replica];
   changed_ = changed_ || k.failed >= kBadFrom;
@@ -31,12 +31,12 @@
   k.at = k.served_at = now;
 }
 
-void Witness::prune(Micros now) {
+void HealthObserver::prune(Micros now) {
   std::erase_if(known_, [&](const auto& k) { return now - k.second.at > set_.keep; });
   if (known_.size() >= kMostKnown) known_.clear();
 }
 
-std::vector<coordination::Case> Witness::cases(Micros now) const {
+std::vector<coordination::Case> HealthObserver::cases(Micros now) const {
   std::vector<coordination::Case> out;
   for (const auto& [replica, k] : known_) {
     const bool bad = k.failed >= kBadFrom;
@@ -53,24 +53,28 @@
   return out;
 }
 
-std::optional<Micros> Witness::served(core::ReplicaId replica) const {
+std::optional<Micros> HealthObserver::served(core::ReplicaId replica) const {
   const auto it = known_.find(replica);
   if (it == known_.end() || it->second.served_at < 0) return std::nullopt;
   return it->second.served_at;
 }
 
-std::vector<Opinion> weigh(Micros now, const Settings& settings, const Heard<coordination::Seen>& heard,
-                           const std::string& but_not) {
-  std::map<std::string, const Heard<coordination::Seen>::Held*> last;  // by name: one router is one witness
+std::vector<ReplicaHealthSummary> weigh(Micros now, const Settings& settings,
+                                        const VersionedTable<coordination::Seen>& heard,
+                                        const std::string& but_not) {
+  std::map<std::string, const VersionedTable<coordination::Seen>::Held*>
+      last;  // by name: one router is one witness
   for (const auto& [life, h] : heard.all()) last[life.first] = &h;
-  std::map<core::ReplicaId, Opinion> out;
+  std::map<core::ReplicaId, ReplicaHealthSummary> out;
   std::map<core::ReplicaId, std::set<std::string>> sites;
   for (const auto& [name, h] : last) {
     if (name == but_not) continue;
     for (const coordination::Case& c : h->entry.cases()) {
       const Micros age = now - h->sealed + c.age_us();
       if (age < 0 || age >= settings.keep) continue;
-      Opinion& o = out.try_emplace(c.replica(), Opinion{c.replica(), 0, 0, 0, settings.keep}).first->second;
+      ReplicaHealthSummary& o =
+          out.try_emplace(c.replica(), ReplicaHealthSummary{c.replica(), 0, 0, 0, settings.keep})
+              .first->second;
       if (c.bad()) {
         ++o.bad;
         o.age = std::min(o.age, age);
@@ -81,20 +85,22 @@
       }
     }
   }
-  std::vector<Opinion> all;
+  std::vector<ReplicaHealthSummary> all;
   for (const auto& [replica, o] : out) all.push_back(o);
   return all;
 }
 
-std::vector<Caution::Warning> Caution::act(Micros now, const std::vector<Opinion>& opinions,
-                                           const std::set<core::ReplicaId>& ready, const Witness& own,
-                                           std::size_t routers, std::size_t sites) const {
+std::vector<EjectionPolicy::Warning> EjectionPolicy::act(Micros now,
+                                                         const std::vector<ReplicaHealthSummary>& opinions,
+                                                         const std::set<core::ReplicaId>& ready,
+                                                         const HealthObserver& own, std::size_t routers,
+                                                         std::size_t sites) const {
   if (!set_.hearsay) return {};
   // In a fleet of few there may not be so many others; two are needed even so.
   const std::size_t others = routers > 0 ? routers - 1 : 0;
   const std::size_t need = std::max<std::size_t>(2, std::min<std::size_t>(set_.witnesses, others));
-  std::vector<Opinion> heard;
-  for (const Opinion& o : opinions) {
+  std::vector<ReplicaHealthSummary> heard;
+  for (const ReplicaHealthSummary& o : opinions) {
     if (ready.count(o.replica) == 0 || o.bad < need || o.bad <= o.good) continue;
     if (sites > 1 && o.sites < 2) continue;
     // It has served this router since the newest of those words: that goes before hearsay.
@@ -102,13 +108,13 @@
     if (served && *served >= now - o.age) continue;
     heard.push_back(o);
   }
-  std::sort(heard.begin(), heard.end(), [](const Opinion& a, const Opinion& b) {
+  std::sort(heard.begin(), heard.end(), [](const ReplicaHealthSummary& a, const ReplicaHealthSummary& b) {
     return a.bad != b.bad ? a.bad > b.bad : a.replica < b.replica;
   });
   const auto most = static_cast<std::size_t>(set_.most_part * static_cast<double>(ready.size()));
   if (heard.size() > most) heard.resize(most);
   std::vector<Warning> out;
-  for (const Opinion& o : heard) out.push_back({o.replica, set_.keep - o.age});
+  for (const ReplicaHealthSummary& o : heard) out.push_back({o.replica, set_.keep - o.age});
   return out;
 }
 
--- a/src/shared/health_gossip.h
+++ b/src/shared/health_gossip.h
@@ -22,9 +22,9 @@
 
 namespace flintglade::shared {
 
-class Witness {
+class HealthObserver {
  public:
-  explicit Witness(const Settings& settings) : set_(settings) {}
+  explicit HealthObserver(const Settings& settings) : set_(settings) {}
   void call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome);
   void first_event(Micros now, core::ReplicaId replica);  // it serves
   // What to tell: replicas that fail now, and those that have lately begun to serve again.
@@ -46,27 +46,28 @@
   bool changed_ = false;
 };
 
-struct Opinion {
+struct ReplicaHealthSummary {
   core::ReplicaId replica = 0;
   std::uint32_t bad = 0, good = 0, sites = 0;  // sites of those who say it is bad
   Micros age = 0;                              // of the newest bad word
 };
 // All that was heard and still counts; of the words of one router, the last life's.
-std::vector<Opinion> weigh(Micros now, const Settings& settings, const Heard<coordination::Seen>& heard,
-                           const std::string& but_not);
+std::vector<ReplicaHealthSummary> weigh(Micros now, const Settings& settings,
+                                        const VersionedTable<coordination::Seen>& heard,
+                                        const std::string& but_not);
 
-class Caution {
+class EjectionPolicy {
  public:
-  explicit Caution(const Settings& settings) : set_(settings) {}
+  explicit EjectionPolicy(const Settings& settings) : set_(settings) {}
   struct Warning {
     core::ReplicaId replica = 0;
     Micros span = 0;  // from now on
   };
   // ready: those that this router's own list calls ready. sites: of the living routers. routers: how many
   // live.
-  std::vector<Warning> act(Micros now, const std::vector<Opinion>& opinions,
-                           const std::set<core::ReplicaId>& ready, const Witness& own, std::size_t routers,
-                           std::size_t sites) const;
+  std::vector<Warning> act(Micros now, const std::vector<ReplicaHealthSummary>& opinions,
+                           const std::set<core::ReplicaId>& ready, const HealthObserver& own,
+                           std::size_t routers, std::size_t sites) const;
 
  private:
   Settings set_;
--- a/src/shared/quota_allocator.cpp
+++ b/src/shared/quota_allocator.cpp
@@ -14,11 +14,11 @@
 }
 }  // namespace
 
-Bank::Bank(std::vector<Budget> budgets) {
+QuotaAllocator::QuotaAllocator(std::vector<Budget> budgets) {
   for (Budget& b : budgets) accounts_.emplace_back().budget = std::move(b);
 }
 
-void Bank::starts(Micros now, std::uint64_t number) {
+void QuotaAllocator::starts(Micros now, std::uint64_t number) {
   number_ = number;
   serial_ = 0;
   began_ = now;
@@ -30,14 +30,14 @@
   }
 }
 
-void Bank::mint(Micros now, Account& a) {
+void QuotaAllocator::mint(Micros now, Account& a) {
   if (a.budget.stock()) return;
   const double more = a.budget.bank_per_s() * static_cast<double>(now - a.minted) / 1e6;
   a.pool = std::min(static_cast<double>(a.budget.bank_pool()), a.pool + std::max(0.0, more));
   a.minted = std::max(a.minted, now);
 }
 
-double Bank::level(const Account& a) {
+double QuotaAllocator::level(const Account& a) {
   std::vector<double> demands;
   for (const auto& [who, h] : a.holders) demands.push_back(h.demand);
   std::sort(demands.begin(), demands.end());
@@ -50,8 +50,8 @@
   return -1.0;  // there is enough for all
 }
 
-std::optional<coordination::Parcel> Bank::asked(Micros now, const std::string& who, std::uint64_t birth,
-                                                const coordination::Ask& ask) {
+std::optional<coordination::Parcel> QuotaAllocator::asked(Micros now, const std::string& who,
+                                                          std::uint64_t birth, const coordination::Ask& ask) {
   ++counters_.asks;
   const auto it = std::find_if(accounts_.begin(), accounts_.end(),
                                [&](const Account& a) { return a.budget.name == ask.budget(); });
@@ -119,7 +119,7 @@
   return p;
 }
 
-bool Bank::returned(Micros now, const std::string& who, const coordination::Return& back) {
+bool QuotaAllocator::returned(Micros now, const std::string& who, const coordination::Return& back) {
   for (Account& a : accounts_) {
     if (a.budget.name != back.budget() || back.bank() != number_ || !open()) continue;
     // A part that nobody has spoken of for long counts as spent.
@@ -137,7 +137,7 @@
   return false;
 }
 
-std::vector<coordination::Draw> Bank::draws(Micros now, Micros unix_time) {
+std::vector<coordination::Draw> QuotaAllocator::draws(Micros now, Micros unix_time) {
   std::vector<coordination::Draw> out;
   if (!open()) return out;
   for (Account& a : accounts_) {
@@ -168,7 +168,7 @@
     }
     a.drawing_again = now + kDrawAgain;
     coordination::Draw d;
-    d.set_job(kBankJob);
+    d.set_job(kQuotaAllocatorLease);
     d.set_number(number_);
     d.set_serial(a.drawing);
     d.set_stock(a.budget.name);
@@ -180,7 +180,7 @@
   return out;
 }
 
-void Bank::record(const coordination::Table& table) {
+void QuotaAllocator::record(const coordination::Table& table) {
   for (Account& a : accounts_) {
     if (a.drawing == 0) continue;
     for (const coordination::Stock& s : table.stocks()) {
@@ -198,7 +198,7 @@
   }
 }
 
-Amount Bank::pool(const std::string& budget) const {
+Amount QuotaAllocator::pool(const std::string& budget) const {
   for (const Account& a : accounts_) {
     if (a.budget.name == budget) return static_cast<Amount>(a.pool);
   }
--- a/src/shared/quota_allocator.h
+++ b/src/shared/quota_allocator.h
@@ -20,11 +20,11 @@
 
 namespace flintglade::shared {
 
-inline constexpr char kBankJob[] = "bank";
+inline constexpr char kQuotaAllocatorLease[] = "bank";
 
-class Bank {
+class QuotaAllocator {
  public:
-  explicit Bank(std::vector<Budget> budgets);
+  explicit QuotaAllocator(std::vector<Budget> budgets);
 
   void starts(Micros now, std::uint64_t number);  // its lease on the job begins
   void stops() { number_ = 0; }
--- a/src/shared/quota_holder.cpp
+++ b/src/shared/quota_holder.cpp
@@ -20,8 +20,8 @@
 }
 }  // namespace
 
-Wallet::Wallet(std::vector<Budget> budgets, const std::vector<std::string>& teams, std::uint64_t birth,
-               Micros now)
+QuotaHolder::QuotaHolder(std::vector<Budget> budgets, const std::vector<std::string>& teams,
+                         std::uint64_t birth, Micros now)
     : of_team_(teams.size()), numbers_(birth) {
   for (Budget& b : budgets) {
     Account& a = accounts_.emplace_back();
@@ -34,12 +34,12 @@
   }
 }
 
-void Wallet::drop_first(Account& a) {
+void QuotaHolder::drop_first(Account& a) {
   std::move(a.parts.begin() + 1, a.parts.begin() + static_cast<std::ptrdiff_t>(a.count), a.parts.begin());
   --a.count;
 }
 
-void Wallet::back(const Budget& budget, const Part& part) {
+void QuotaHolder::back(const Budget& budget, const Part& part) {
   if (!budget.stock() || part.bank == 0 || part.amount <= 0 || returns_.size() >= kMostReturns) return;
   coordination::Return r;
   r.set_budget(budget.name);
@@ -51,7 +51,7 @@
 
 // Parts that are over go, and the own bucket fills. It begins empty: a router that is started again and again
 // gets no more of it than one that runs on.
-void Wallet::age(Micros now, Account& a) {
+void QuotaHolder::age(Micros now, Account& a) {
   while (a.count > 0 && (a.parts[0].ends <= now || a.parts[0].amount <= 0)) {
     a.expired += a.parts[0].amount;
     back(a.budget, a.parts[0]);
@@ -62,22 +62,22 @@
   a.own_at = std::max(a.own_at, now);
 }
 
-double Wallet::demand(Micros now, const Account& a) {
+double QuotaHolder::demand(Micros now, const Account& a) {
   return a.demand * std::exp(-static_cast<double>(now - a.demand_at) / kMemory);
 }
-void Wallet::note_demand(Micros now, Account& a, Amount amount) {
+void QuotaHolder::note_demand(Micros now, Account& a, Amount amount) {
   a.demand = demand(now, a) + static_cast<double>(amount) * 1e6 / kMemory;
   a.demand_at = now;
   a.asked_for = now;
 }
 
-Amount Wallet::parts(const Account& a) {
+Amount QuotaHolder::parts(const Account& a) {
   Amount sum = 0;
   for (std::size_t i = 0; i < a.count; ++i) sum += a.parts[i].amount;
   return sum;
 }
 
-Wallet::Spent Wallet::spend(Micros now, std::uint32_t team, Amount tokens) {
+QuotaHolder::Spent QuotaHolder::spend(Micros now, std::uint32_t team, Amount tokens) {
   if (team >= of_team_.size() || of_team_[team].empty()) return {};
   Spent out{Verdict::within, 0};
   for (const std::size_t i : of_team_[team]) {
@@ -113,7 +113,7 @@
   return out;
 }
 
-std::vector<Wallet::Question> Wallet::questions(Micros now) {
+std::vector<QuotaHolder::Question> QuotaHolder::questions(Micros now) {
   std::vector<Question> out;
   for (Account& a : accounts_) {
     age(now, a);
@@ -145,7 +145,7 @@
   return out;
 }
 
-void Wallet::parcel(Micros now, const coordination::Parcel& p) {
+void QuotaHolder::parcel(Micros now, const coordination::Parcel& p) {
   for (Account& a : accounts_) {
     if (a.budget.name != p.budget()) continue;
     // Whatever the sender says: no more than the whole, for no longer than its time.
@@ -179,8 +179,8 @@
 }
 
 // Half of what is left beyond this router's own need, out of the part that runs longest.
-std::optional<coordination::Parcel> Wallet::lend(Micros now, const std::string&,
-                                                 const coordination::Ask& ask) {
+std::optional<coordination::Parcel> QuotaHolder::lend(Micros now, const std::string&,
+                                                      const coordination::Ask& ask) {
   for (Account& a : accounts_) {
     if (a.budget.name != ask.budget() || ask.want() <= 0 || ask.want() > kMostAmount) continue;
     age(now, a);
@@ -208,16 +208,16 @@
   return std::nullopt;
 }
 
-std::vector<coordination::Return> Wallet::returns() { return std::exchange(returns_, {}); }
+std::vector<coordination::Return> QuotaHolder::returns() { return std::exchange(returns_, {}); }
 
-void Wallet::give_back_all() {
+void QuotaHolder::give_back_all() {
   leaving_ = true;
   for (Account& a : accounts_) {
     for (; a.count > 0; drop_first(a)) back(a.budget, a.parts[0]);
   }
 }
 
-Micros Wallet::next(Micros now) const {
+Micros QuotaHolder::next(Micros now) const {
   Micros at = core::kNever;
   for (const Account& a : accounts_) {
     if (now - a.asked_for < kIdle || a.asking != 0 || a.count > 0) at = now + kLeast;
@@ -225,14 +225,14 @@
   return at;
 }
 
-Amount Wallet::held(Micros now, std::size_t budget) const {
+Amount QuotaHolder::held(Micros now, std::size_t budget) const {
   Account a = accounts_[budget];
   Amount sum = static_cast<Amount>(a.own);
   for (std::size_t i = 0; i < a.count; ++i) sum += a.parts[i].ends > now ? a.parts[i].amount : 0;
   return sum;
 }
 
-void Wallet::status(Micros now, coordination::SharedStatus& out) const {
+void QuotaHolder::status(Micros now, coordination::SharedStatus& out) const {
   for (const Account& a : accounts_) {
     auto& b = *out.add_budgets();
     b.set_name(a.budget.name);
--- a/src/shared/quota_holder.h
+++ b/src/shared/quota_holder.h
@@ -18,7 +18,7 @@
 
 namespace flintglade::shared {
 
-class Wallet {
+class QuotaHolder {
  public:
   enum class Verdict : std::uint8_t { unlimited, within, last, refused };
   struct Spent {
@@ -31,7 +31,8 @@
   };
 
   // teams: of the settings, by number. birth: of this router, in microseconds of Unix time.
-  Wallet(std::vector<Budget> budgets, const std::vector<std::string>& teams, std::uint64_t birth, Micros now);
+  QuotaHolder(std::vector<Budget> budgets, const std::vector<std::string>& teams, std::uint64_t birth,
+              Micros now);
 
   // One request. Taken from all budgets of its team, or from none.
   Spent spend(Micros now, std::uint32_t team, Amount tokens);
--- a/src/shared/replicated_counter.cpp
+++ b/src/shared/replicated_counter.cpp
@@ -28,10 +28,11 @@
   to.set_worth(to.worth() + more.worth());
 }
 
-Ledger::Ledger(const Settings& settings, std::string name, std::uint64_t birth, std::string site)
+ReplicatedCounter::ReplicatedCounter(const Settings& settings, std::string name, std::uint64_t birth,
+                                     std::string site)
     : set_(settings), self_(std::move(name), birth), site_(std::move(site)), rows_(settings.most_rows) {}
 
-bool Ledger::seal(Micros now, const Counts& counts) {
+bool ReplicatedCounter::seal(Micros now, const Counts& counts) {
   const auto same = [](const coordination::Count& a, const coordination::Count& b) {
     return a.served() == b.served() && a.refused() == b.refused() && a.failed() == b.failed() &&
            a.tokens() == b.tokens() && a.worth() == b.worth();
@@ -78,7 +79,7 @@
   return true;
 }
 
-bool Ledger::sane(const coordination::Row& row) const {
+bool ReplicatedCounter::sane(const coordination::Row& row) const {
   if (row.name().empty() || row.name().size() > kMostName || row.site().size() > kMostName ||
       row.version() == 0 || row.version() > kMostCount || row.birth() == 0 || row.age_us() < 0 ||
       static_cast<std::size_t>(row.counts_size()) > set_.most_counts ||
@@ -96,7 +97,7 @@
   return true;
 }
 
-std::string Ledger::take(Micros now, coordination::Row row, Micros late, int passes) {
+std::string ReplicatedCounter::take(Micros now, coordination::Row row, Micros late, int passes) {
   if (!sane(row)) return "numbers that cannot be";
   const Life life{row.name(), row.birth()};
   if (life == self_)
@@ -124,7 +125,7 @@
 }
 
 // Into our own row. What an earlier life had taken in stands in its row already.
-void Ledger::take_in(coordination::Row row) {
+void ReplicatedCounter::take_in(coordination::Row row) {
   const std::uint64_t birth = row.birth();
   for (const auto& [other, e] : earlier_) {
     if (other > birth && took_in(e, birth)) return;
@@ -135,9 +136,10 @@
   dirty_ = true;
 }
 
-void Ledger::ended(Micros now, const Life& life) { ended_.try_emplace(life, now); }
+void ReplicatedCounter::ended(Micros now, const Life& life) { ended_.try_emplace(life, now); }
 
-std::map<std::tuple<std::string, std::string, std::string>, Ledger::Total> Ledger::totals(Micros now) const {
+std::map<std::tuple<std::string, std::string, std::string>, ReplicatedCounter::Total>
+ReplicatedCounter::totals(Micros now) const {
   std::map<std::tuple<std::string, std::string, std::string>, Total> out;
   for (const auto& [life, h] : rows_.all()) {
     // A row that a later life has taken in, but not as far as we have heard: what is beyond is not known.
--- a/src/shared/replicated_counter.h
+++ b/src/shared/replicated_counter.h
@@ -28,14 +28,14 @@
 
 // Rows or other words, each of one life: the newest version of each that was heard, with its age.
 template <typename Entry>
-class Heard {
+class VersionedTable {
  public:
   struct Held {
     Entry entry;
     Micros sealed = 0;  // at the latest, on this clock
     int passes = 0;     // how often it is still to be passed on
   };
-  explicit Heard(std::size_t most) : most_(most) {}
+  explicit VersionedTable(std::size_t most) : most_(most) {}
 
   // late: how much longer than the quickest one the packet was on its way. True: it is news.
   bool take(Micros now, Entry entry, Micros late, int passes) {
@@ -70,11 +70,11 @@
   std::uint64_t dropped_ = 0;
 };
 
-class Ledger {
+class ReplicatedCounter {
  public:
   using Counts = std::map<std::pair<std::string, std::string>, coordination::Count>;  // by team and class
 
-  Ledger(const Settings& settings, std::string name, std::uint64_t birth, std::string site);
+  ReplicatedCounter(const Settings& settings, std::string name, std::uint64_t birth, std::string site);
 
   // What this life has counted until now. True: a new version was sealed.
   bool seal(Micros now, const Counts& counts);
@@ -91,8 +91,8 @@
   // By team, class and site.
   std::map<std::tuple<std::string, std::string, std::string>, Total> totals(Micros now) const;
 
-  Heard<coordination::Row>& rows() { return rows_; }
-  const Heard<coordination::Row>& rows() const { return rows_; }
+  VersionedTable<coordination::Row>& rows() { return rows_; }
+  const VersionedTable<coordination::Row>& rows() const { return rows_; }
   const Life& self() const { return self_; }
 
  private:
@@ -102,7 +102,7 @@
   Settings set_;
   Life self_;
   std::string site_;
-  Heard<coordination::Row> rows_;
+  VersionedTable<coordination::Row> rows_;
   std::map<std::uint64_t, coordination::Row> earlier_;  // lives of our name that are folded in
   std::map<Life, Micros> ended_;
   Counts own_;
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -28,20 +28,21 @@
       self_(self.name, self.birth),
       site_(self.site),
       random_(seed),
-      bank_(set_.budgets),
-      ledger_(set_, self.name, self.birth, self.site),
+      quota_allocator_(set_.budgets),
+      counter_(set_, self.name, self.birth, self.site),
       seen_(set_.most_rows) {}
 
 // ---- what this router has to say
 
-void SharedState::ask(Micros now, coordination::Agent& agent, const coordination::Ask& ask, bool to_peer) {
+void SharedState::ask(Micros now, coordination::CoordinationProtocol& agent, const coordination::Ask& ask,
+                      bool to_peer) {
   if (!to_peer && is_bank(now, agent)) {
-    if (const auto p = bank_.asked(now, self_.first, self_.second, ask)) ports_.parcel(*p);
+    if (const auto p = quota_allocator_.asked(now, self_.first, self_.second, ask)) ports_.parcel(*p);
     return;
   }
   coordination::Share s;
   *s.mutable_ask() = ask;
-  const membership::Peer* bank = agent.owner(kBankJob);
+  const membership::Peer* bank = agent.owner(kQuotaAllocatorLease);
   if (!to_peer && bank != nullptr) return share(now, agent, bank->name, std::move(s));
   counters_.no_bank += !to_peer;
   const auto others = living(agent);
@@ -50,29 +51,30 @@
   share(now, agent, others[random_() % others.size()]->name, std::move(s));
 }
 
-void SharedState::lent(Micros now, coordination::Agent& agent, const std::string& to,
+void SharedState::lent(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
                        const coordination::Parcel& parcel) {
   coordination::Share s;
   *s.mutable_parcel() = parcel;
   share(now, agent, to, std::move(s));
 }
 
-void SharedState::give_back(Micros now, coordination::Agent& agent, const coordination::Return& back) {
-  if (bank_.open() && bank_.number() == back.bank()) {
-    bank_.returned(now, self_.first, back);
+void SharedState::give_back(Micros now, coordination::CoordinationProtocol& agent,
+                            const coordination::Return& back) {
+  if (quota_allocator_.open() && quota_allocator_.number() == back.bank()) {
+    quota_allocator_.returned(now, self_.first, back);
     return;
   }
   // To the bank that handed it out, and to no other: it could be handed out twice.
   for (const coordination::Job& j : agent.table().jobs()) {
-    if (j.name() != kBankJob || j.number() != back.bank() || j.owner().empty()) continue;
+    if (j.name() != kQuotaAllocatorLease || j.number() != back.bank() || j.owner().empty()) continue;
     coordination::Share s;
     *s.mutable_back() = back;
     share(now, agent, j.owner(), std::move(s));
   }
 }
 
-void SharedState::counted(Micros now, const Ledger::Counts& counts) {
-  if (set_.counts && ledger_.seal(now, counts)) ledger_.rows().all()[self_].passes = 4;
+void SharedState::counted(Micros now, const ReplicatedCounter::Counts& counts) {
+  if (set_.counts && counter_.seal(now, counts)) counter_.rows().all()[self_].passes = 4;
 }
 
 void SharedState::saw(Micros now, std::vector<coordination::Case> cases) {
@@ -97,7 +99,8 @@
                      [](const coordination::Case& c) { return c.age_us() >= 0 && c.age_us() <= kMostAge; });
 }
 
-void SharedState::absurd(coordination::Agent& agent, const std::string& from, const std::string& what) {
+void SharedState::absurd(coordination::CoordinationProtocol& agent, const std::string& from,
+                         const std::string& what) {
   ++counters_.absurd;
   agent.event("share_refused", {{"from", from}, {"why", what}}, true);
 }
@@ -121,14 +124,15 @@
   return ports_.unix_time() + apart[apart.size() / 2];
 }
 
-void SharedState::receive(Micros now, coordination::Agent& agent, const coordination::Agent::Word& word) {
-  using What = coordination::Agent::Word::What;
-  if (word.job == kBankJob && word.what == What::starts) {
-    bank_.starts(now, word.number);
+void SharedState::receive(Micros now, coordination::CoordinationProtocol& agent,
+                          const coordination::CoordinationProtocol::Word& word) {
+  using What = coordination::CoordinationProtocol::Word::What;
+  if (word.job == kQuotaAllocatorLease && word.what == What::starts) {
+    quota_allocator_.starts(now, word.number);
     next_bank_ = now;
   }
-  if (word.job == kBankJob && word.what == What::stops) {
-    bank_.stops();
+  if (word.job == kQuotaAllocatorLease && word.what == What::stops) {
+    quota_allocator_.stops();
     next_bank_ = core::kNever;
   }
   if (word.what != What::share) return;
@@ -149,7 +153,7 @@
       ports_.parcel(s.parcel());
       break;
     case coordination::Share::kBack:
-      bank_.returned(now, word.who, s.back());
+      quota_allocator_.returned(now, word.who, s.back());
       break;
     case coordination::Share::kNews:
       take(now, agent, s.news(), longer, word.who);
@@ -162,23 +166,23 @@
   }
 }
 
-void SharedState::answer(Micros now, coordination::Agent& agent, const std::string&, const std::string& who,
-                         std::uint64_t birth, const coordination::Ask& ask) {
+void SharedState::answer(Micros now, coordination::CoordinationProtocol& agent, const std::string&,
+                         const std::string& who, std::uint64_t birth, const coordination::Ask& ask) {
   if (ask.want() < 0 || ask.want() > kMostAmount || ask.demand() < 0 || ask.demand() > kMostAmount)
     return absurd(agent, who, "an amount that cannot be");
   if (!is_bank(now, agent)) return ports_.lend(who, ask);
-  const auto parcel = bank_.asked(now, who, birth, ask);
+  const auto parcel = quota_allocator_.asked(now, who, birth, ask);
   if (!parcel) return;
   coordination::Share s;
   *s.mutable_parcel() = *parcel;
   share(now, agent, who, std::move(s));
 }
 
-void SharedState::take(Micros now, coordination::Agent& agent, const coordination::News& news, Micros longer,
-                       const std::string& from) {
+void SharedState::take(Micros now, coordination::CoordinationProtocol& agent, const coordination::News& news,
+                       Micros longer, const std::string& from) {
   std::string wrong;
   for (const coordination::Row& row : news.rows()) {
-    const std::string why = ledger_.take(now, row, longer, passes(agent));
+    const std::string why = counter_.take(now, row, longer, passes(agent));
     if (!why.empty()) wrong = "row of " + row.name().substr(0, kMostName) + ": " + why;
   }
   bool heard = false;
@@ -197,8 +201,8 @@
 }
 
 // Who has the newer version of a row sends it; what is newer there is asked for, once.
-void SharedState::take(Micros now, coordination::Agent& agent, const coordination::Digest& digest,
-                       const std::string& who) {
+void SharedState::take(Micros now, coordination::CoordinationProtocol& agent,
+                       const coordination::Digest& digest, const std::string& who) {
   std::map<Life, std::uint64_t> marks;
   for (const coordination::Mark& m : digest.marks()) {
     if (marks.size() < 2 * kMarks) marks[{m.name(), m.birth()}] = m.version();
@@ -209,7 +213,7 @@
   bool lacks = false;
   std::vector<coordination::Share> out(1);
   std::size_t bytes = 0;
-  for (const auto& [life, h] : ledger_.rows().all()) {
+  for (const auto& [life, h] : counter_.rows().all()) {
     if (life.first < digest.from() || (!digest.to().empty() && life.first >= digest.to())) continue;
     if (back.marks_size() < static_cast<int>(2 * kMarks)) {
       coordination::Mark& mark = *back.add_marks();
@@ -229,9 +233,9 @@
       bytes = 0;
     }
     bytes += size;
-    *out.back().mutable_news()->add_rows() = Heard<coordination::Row>::aged(now, h);
+    *out.back().mutable_news()->add_rows() = VersionedTable<coordination::Row>::aged(now, h);
   }
-  for (const auto& [life, version] : marks) lacks = lacks || ledger_.rows().version(life) < version;
+  for (const auto& [life, version] : marks) lacks = lacks || counter_.rows().version(life) < version;
   for (coordination::Share& s : out) {
     if (s.has_news()) share(now, agent, who, std::move(s));
   }
@@ -243,7 +247,8 @@
 
 // ---- what goes out
 
-std::vector<const membership::Peer*> SharedState::living(const coordination::Agent& agent) const {
+std::vector<const membership::Peer*> SharedState::living(
+    const coordination::CoordinationProtocol& agent) const {
   std::vector<const membership::Peer*> out;
   for (const auto& [name, p] : agent.peers().others()) {
     if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) out.push_back(&p);
@@ -251,11 +256,11 @@
   return out;
 }
 
-int SharedState::passes(const coordination::Agent& agent) const {
+int SharedState::passes(const coordination::CoordinationProtocol& agent) const {
   return 2 + static_cast<int>(std::log2(1.0 + static_cast<double>(agent.peers().others().size())) / 2);
 }
 
-void SharedState::share(Micros now, coordination::Agent& agent, const std::string& to,
+void SharedState::share(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
                         coordination::Share share) {
   const auto it = agent.peers().others().find(to);
   if (it == agent.peers().others().end()) return;
@@ -266,7 +271,7 @@
   agent.share(to, it->second.at, share);
 }
 
-void SharedState::gossip(Micros now, coordination::Agent& agent) {
+void SharedState::gossip(Micros now, coordination::CoordinationProtocol& agent) {
   const auto others = living(agent);
   coordination::Share s;
   std::size_t bytes = 0;
@@ -279,16 +284,19 @@
       adder(h);
     }
   };
-  add(seen_, [&](const auto& h) { *s.mutable_news()->add_seen() = Heard<coordination::Seen>::aged(now, h); });
-  add(ledger_.rows(),
-      [&](const auto& h) { *s.mutable_news()->add_rows() = Heard<coordination::Row>::aged(now, h); });
+  add(seen_, [&](const auto& h) {
+    *s.mutable_news()->add_seen() = VersionedTable<coordination::Seen>::aged(now, h);
+  });
+  add(counter_.rows(), [&](const auto& h) {
+    *s.mutable_news()->add_rows() = VersionedTable<coordination::Row>::aged(now, h);
+  });
   if (!s.has_news() || others.empty()) return;
   std::vector<const membership::Peer*> to;
   std::sample(others.begin(), others.end(), std::back_inserter(to), set_.fan_out, random_);
   for (const membership::Peer* p : to) share(now, agent, p->name, s);
 }
 
-void SharedState::compare(Micros now, coordination::Agent& agent) {
+void SharedState::compare(Micros now, coordination::CoordinationProtocol& agent) {
   const auto others = living(agent);
   if (others.empty()) return;
   coordination::Share s;
@@ -296,7 +304,7 @@
   d.set_from(compared_);
   d.set_answer(true);
   compared_.clear();
-  for (const auto& [life, h] : ledger_.rows().all()) {
+  for (const auto& [life, h] : counter_.rows().all()) {
     if (life.first < d.from()) continue;
     if (d.marks_size() >= static_cast<int>(kMarks) && life.first != d.marks(d.marks_size() - 1).name()) {
       compared_ = life.first;
@@ -312,21 +320,21 @@
   share(now, agent, others[random_() % others.size()]->name, std::move(s));
 }
 
-void SharedState::tell_opinions(Micros now, const coordination::Agent& agent) {
+void SharedState::tell_opinions(Micros now, const coordination::CoordinationProtocol& agent) {
   std::erase_if(seen_.all(),
                 [&](const auto& h) { return h.first != self_ && now - h.second.sealed > 4 * set_.keep; });
-  opinions_ = weigh(now, set_, seen_, self_.first);
+  health_summaries_ = weigh(now, set_, seen_, self_.first);
   std::set<std::string> sites{site_};
   std::size_t routers = 1;
   for (const membership::Peer* p : living(agent)) {
     ++routers;
     sites.insert(p->site);
   }
-  ports_.opinions(opinions_, routers, sites.size());
-  next_opinions_ = opinions_.empty() ? core::kNever : now + kOpinionTick;
+  ports_.opinions(health_summaries_, routers, sites.size());
+  next_opinions_ = health_summaries_.empty() ? core::kNever : now + kOpinionTick;
 }
 
-void SharedState::tick(Micros now, coordination::Agent& agent) {
+void SharedState::tick(Micros now, coordination::CoordinationProtocol& agent) {
   if (now >= next_gossip_) {
     next_gossip_ = now + set_.gossip;
     gossip(now, agent);
@@ -338,10 +346,10 @@
   }
   if (now >= next_opinions_) tell_opinions(now, agent);
   if (now >= next_bank_) {
-    next_bank_ = bank_.open() ? now + kBankTick : core::kNever;
-    bank_.record(agent.table());
+    next_bank_ = quota_allocator_.open() ? now + kBankTick : core::kNever;
+    quota_allocator_.record(agent.table());
     if (is_bank(now, agent)) {
-      for (const coordination::Draw& d : bank_.draws(now, fleet_time(now))) agent.draw(now, d);
+      for (const coordination::Draw& d : quota_allocator_.draws(now, fleet_time(now))) agent.draw(now, d);
     }
   }
 }
@@ -354,8 +362,8 @@
 
 std::string SharedState::snapshot(Micros now) const {
   coordination::News news;
-  for (const auto& [life, h] : ledger_.rows().all())
-    *news.add_rows() = Heard<coordination::Row>::aged(now, h);
+  for (const auto& [life, h] : counter_.rows().all())
+    *news.add_rows() = VersionedTable<coordination::Row>::aged(now, h);
   const std::string body = news.SerializeAsString();
   std::string out = kMagic;
   for (const std::uint32_t n : {kSnapshotVersion, static_cast<std::uint32_t>(body.size()), checksum(body)}) {
@@ -379,15 +387,16 @@
   coordination::News news;
   if (!news.ParseFromArray(body.data(), static_cast<int>(body.size()))) return "it cannot be read";
   // How old it is nobody knows: as old as a row can be.
-  for (const coordination::Row& row : news.rows()) ledger_.take(now, row, kMostAge, 2);
+  for (const coordination::Row& row : news.rows()) counter_.take(now, row, kMostAge, 2);
   return "";
 }
 
-void SharedState::status(Micros now, const coordination::Agent& agent, coordination::Status& out) const {
+void SharedState::status(Micros now, const coordination::CoordinationProtocol& agent,
+                         coordination::Status& out) const {
   coordination::SharedStatus& s = *out.mutable_shared();
-  s = wallet_;
+  s = quota_holder_;
   s.set_bank(is_bank(now, agent));
-  for (const auto& [key, t] : ledger_.totals(now)) {
+  for (const auto& [key, t] : counter_.totals(now)) {
     auto& total = *s.add_totals();
     std::tie(*total.mutable_team(), *total.mutable_klass(), *total.mutable_site()) = key;
     total.set_served(t.count.served());
@@ -398,7 +407,7 @@
     total.set_most(t.most_served);
     total.set_age_us(t.oldest);
   }
-  for (const Opinion& o : opinions_) {
+  for (const ReplicaHealthSummary& o : health_summaries_) {
     auto& heard = *s.add_heard();
     heard.set_replica(o.replica);
     heard.set_bad(o.bad);
@@ -407,8 +416,8 @@
     heard.set_age_us(o.age);
     heard.set_avoided(avoided_.count(o.replica) > 0);
   }
-  s.set_rows(ledger_.rows().all().size());
-  s.set_rows_dropped(ledger_.rows().dropped());
+  s.set_rows(counter_.rows().all().size());
+  s.set_rows_dropped(counter_.rows().dropped());
   auto& counters = *s.mutable_counters();
   counters["sent"] = counters_.sent;
   counters["received"] = counters_.received;
@@ -417,7 +426,7 @@
   counters["asks_passed"] = counters_.asks_passed;
   counters["no_bank"] = counters_.no_bank;
   counters["digests"] = counters_.digests;
-  const Bank::Counters& b = bank_.counters();
+  const QuotaAllocator::Counters& b = quota_allocator_.counters();
   counters["bank_asks"] = b.asks;
   counters["bank_again"] = b.again;
   counters["bank_parts"] = b.parts;
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -25,21 +25,21 @@
     std::function<void(const coordination::Parcel&)> parcel;                      // for this router's wallet
     std::function<void(const std::string& from, const coordination::Ask&)> lend;  // another router asks ours
     // What has been heard of replicas, and of how many routers and sites.
-    std::function<void(std::vector<Opinion>, std::size_t routers, std::size_t sites)> opinions;
+    std::function<void(std::vector<ReplicaHealthSummary>, std::size_t routers, std::size_t sites)> opinions;
     std::function<Micros()> unix_time;
   };
   SharedState(Settings settings, Ports ports, const membership::Self& self, std::uint64_t seed);
 
   // ---- from this router's core
-  void ask(Micros now, coordination::Agent& agent, const coordination::Ask& ask, bool to_peer);
-  void lent(Micros now, coordination::Agent& agent, const std::string& to,
+  void ask(Micros now, coordination::CoordinationProtocol& agent, const coordination::Ask& ask, bool to_peer);
+  void lent(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
             const coordination::Parcel& parcel);
-  void give_back(Micros now, coordination::Agent& agent, const coordination::Return& back);
-  void counted(Micros now, const Ledger::Counts& counts);
+  void give_back(Micros now, coordination::CoordinationProtocol& agent, const coordination::Return& back);
+  void counted(Micros now, const ReplicatedCounter::Counts& counts);
   void saw(Micros now, std::vector<coordination::Case> cases);
   // For whoever asks: the wallet, and the replicas that hearsay has this router avoid now.
   void core_says(coordination::SharedStatus wallet, std::set<core::ReplicaId> avoided) {
-    wallet_ = std::move(wallet);
+    quota_holder_ = std::move(wallet);
     avoided_ = std::move(avoided);
   }
   // What a process of this router before has left.
@@ -47,33 +47,36 @@
   std::string snapshot(Micros now) const;
 
   // ---- coordination::Companion
-  void receive(Micros now, coordination::Agent& agent, const coordination::Agent::Word& word) override;
-  void tick(Micros now, coordination::Agent& agent) override;
+  void receive(Micros now, coordination::CoordinationProtocol& agent,
+               const coordination::CoordinationProtocol::Word& word) override;
+  void tick(Micros now, coordination::CoordinationProtocol& agent) override;
   Micros next() const override;
-  void status(Micros now, const coordination::Agent& agent, coordination::Status& out) const override;
+  void status(Micros now, const coordination::CoordinationProtocol& agent,
+              coordination::Status& out) const override;
 
-  const Ledger& ledger() const { return ledger_; }
-  const Heard<coordination::Seen>& seen() const { return seen_; }
-  const Bank& bank() const { return bank_; }
+  const ReplicatedCounter& ledger() const { return counter_; }
+  const VersionedTable<coordination::Seen>& seen() const { return seen_; }
+  const QuotaAllocator& bank() const { return quota_allocator_; }
 
  private:
-  void share(Micros now, coordination::Agent& agent, const std::string& to, coordination::Share share);
-  void answer(Micros now, coordination::Agent& agent, const std::string& at, const std::string& who,
-              std::uint64_t birth, const coordination::Ask& ask);
-  void take(Micros now, coordination::Agent& agent, const coordination::News& news, Micros late,
-            const std::string& from);
-  void take(Micros now, coordination::Agent& agent, const coordination::Digest& digest,
+  void share(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
+             coordination::Share share);
+  void answer(Micros now, coordination::CoordinationProtocol& agent, const std::string& at,
+              const std::string& who, std::uint64_t birth, const coordination::Ask& ask);
+  void take(Micros now, coordination::CoordinationProtocol& agent, const coordination::News& news,
+            Micros late, const std::string& from);
+  void take(Micros now, coordination::CoordinationProtocol& agent, const coordination::Digest& digest,
             const std::string& at);
-  void gossip(Micros now, coordination::Agent& agent);
-  void compare(Micros now, coordination::Agent& agent);
+  void gossip(Micros now, coordination::CoordinationProtocol& agent);
+  void compare(Micros now, coordination::CoordinationProtocol& agent);
   Micros late(Micros now, const std::string& who, std::uint64_t birth, Micros sent);
-  std::vector<const membership::Peer*> living(const coordination::Agent& agent) const;
+  std::vector<const membership::Peer*> living(const coordination::CoordinationProtocol& agent) const;
   bool sane(const coordination::Seen& seen) const;
-  void absurd(coordination::Agent& agent, const std::string& from, const std::string& what);
-  int passes(const coordination::Agent& agent) const;
-  void tell_opinions(Micros now, const coordination::Agent& agent);
-  bool is_bank(Micros now, const coordination::Agent& agent) const {
-    return bank_.open() && agent.proved(now, kBankJob);
+  void absurd(coordination::CoordinationProtocol& agent, const std::string& from, const std::string& what);
+  int passes(const coordination::CoordinationProtocol& agent) const;
+  void tell_opinions(Micros now, const coordination::CoordinationProtocol& agent);
+  bool is_bank(Micros now, const coordination::CoordinationProtocol& agent) const {
+    return quota_allocator_.open() && agent.proved(now, kQuotaAllocatorLease);
   }
 
   Settings set_;
@@ -81,9 +84,9 @@
   Life self_;
   std::string site_;
   std::mt19937_64 random_;
-  Bank bank_;
-  Ledger ledger_;
-  Heard<coordination::Seen> seen_;
+  QuotaAllocator quota_allocator_;
+  ReplicatedCounter counter_;
+  VersionedTable<coordination::Seen> seen_;
   std::uint64_t own_seen_ = 0;  // the highest version that was heard in our name
   struct Clock {
     std::uint64_t birth = 0;
@@ -95,9 +98,9 @@
   Micros next_gossip_ = 0, next_compare_ = 0, next_bank_ = core::kNever;
   Micros next_opinions_ = core::kNever;
   Micros fleet_time(Micros now) const;  // Unix time: the middle one of all routers' that were heard lately
-  coordination::SharedStatus wallet_;
+  coordination::SharedStatus quota_holder_;
   std::set<core::ReplicaId> avoided_;
-  std::vector<Opinion> opinions_;
+  std::vector<ReplicaHealthSummary> health_summaries_;
   struct Counters {
     std::uint64_t sent = 0, received = 0, bytes = 0, absurd = 0, asks_passed = 0, no_bank = 0, digests = 0;
   } counters_;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -243,7 +243,7 @@
 struct Router {
   boost::asio::io_context io{1};  // outlives the core, which holds connections
   Core core;
-  http::HttpFront front;
+  http::HttpServer front;
   tcp::socket client{io};
   Router()
       : front(io, *core.broker, core.ports,
@@ -383,8 +383,8 @@
 
 // ---- replicas over HTTP ---------------------------------------------------------------------------------
 
-http::SubchannelSettings some_room() {
-  http::SubchannelSettings out;
+http::ReplicaClientSettings some_room() {
+  http::ReplicaClientSettings out;
   out.room = [] { return std::size_t{16}; };
   return out;
 }
@@ -393,7 +393,7 @@
 struct Dialled {
   Core core;
   boost::asio::io_context io{1};
-  http::HttpSubchannels subchannels{io, *core.broker, core.ports, some_room()};
+  http::HttpReplicaClient subchannels{io, *core.broker, core.ports, some_room()};
   tcp::acceptor listener{io, {boost::asio::ip::address_v4::loopback(), 0}};
   tcp::socket peer{io};
   core::Endpoint at;
@@ -434,7 +434,7 @@
 // What is said to the router, or belongs to the connection, does not.
 void a_clients_own_headers_pass_on() {
   Router r;
-  http::HttpSubchannels subchannels(r.io, *r.core.broker, r.core.ports, some_room());
+  http::HttpReplicaClient subchannels(r.io, *r.core.broker, r.core.ports, some_room());
   r.core.broker->attach(core::Wire::http, subchannels);
   tcp::acceptor replica(r.io, {boost::asio::ip::address_v4::loopback(), 0});
   core::Endpoint at;
