--- a/tests/data/write_fixtures.cpp
+++ b/tests/data/write_fixtures.cpp
@@ -39,11 +39,11 @@
   if (scratch.empty()) return 1;
   const std::string why = write_voter_record(scratch + "/voter");
   if (!why.empty()) std::fprintf(stderr, "%s\n", why.c_str());
-  const bool good =
-      why.empty() &&
-      write(folder + kStateFile, hot_restart::write_state(sample_state(), state_writer(), kStateWrittenAt)) &&
-      write(folder + kVoterFile, file_contents(scratch + "/voter/record.log")) &&
-      write(folder + kSharedFile, sample_shared_state()) &&
-      write(folder + kProcessSlotsFile, write_process_slots(scratch));
+  const bool good = why.empty() &&
+                    write(folder + kStateFile,
+                          hot_restart::encode_snapshot(sample_state(), state_writer(), kStateWrittenAt)) &&
+                    write(folder + kVoterFile, file_contents(scratch + "/voter/record.log")) &&
+                    write(folder + kSharedFile, sample_shared_state()) &&
+                    write(folder + kProcessSlotsFile, write_process_slots(scratch));
   return good ? 0 : 1;
 }
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -319,9 +319,9 @@
           ::socketpair(AF_UNIX, SOCK_STREAM, 0, replica) == 0);
     std::size_t sent = 0;
     for (std::size_t seat = 0; seat < 8; ++seat)
-      sent += flintglade::hot_restart::Passage::send(platform.folder + "/scratch", seat, bytes,
-                                                     {client[0], replica[0]}) ==
-              flintglade::hot_restart::Passage::Sent::yes;
+      sent += flintglade::hot_restart::DescriptorPassing::send(platform.folder + "/scratch", seat, bytes,
+                                                               {client[0], replica[0]}) ==
+              flintglade::hot_restart::DescriptorPassing::Sent::yes;
     CHECK(sent == 1);
     for (int* pair : {client, replica}) {
       ::close(pair[0]);
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -9,7 +9,7 @@
 
 constexpr Micros kStep = 5 * core::kMilli;
 
-struct MemoryDisk final : coordination::Storage {
+struct MemoryDisk final : coordination::RaftStorage {
   std::string bytes;
   bool fails = false;
   std::string append(const std::string& more) override {
@@ -25,16 +25,16 @@
 };
 
 struct Box {
-  coordination::AgentSettings settings;
-  std::unique_ptr<coordination::Agent> agent;
+  coordination::CoordinationSettings settings;
+  std::unique_ptr<coordination::CoordinationProtocol> agent;
   std::unique_ptr<MemoryDisk> disk;  // of a voter
   double rate = 1.0;
   Micros offset = 0, paused_until = 0, down_until = 0, next_effect = 0;
   std::map<std::string, std::uint64_t> taken;  // the highest number whose effect it took
   // What it shares.
   std::unique_ptr<shared::SharedState> shared_state;
-  std::unique_ptr<shared::Wallet> wallet;
-  shared::Ledger::Counts counts;
+  std::unique_ptr<shared::QuotaHolder> wallet;
+  shared::ReplicatedCounter::Counts counts;
   double weight = 0;    // of all requests
   bool leaves = false;  // it has been told to, and has not left yet
   Micros next_ask = 0, next_count = 0, unix_ahead = 0;
@@ -65,7 +65,7 @@
       b.rate = 1.0 + world.drift / 2 * (2.0 * std::uniform_real_distribution<>()(random_) - 1.0);
       b.offset = std::uniform_int_distribution<Micros>(0, 1000 * core::kSecond)(random_);
       b.weight = world.skew > 0 ? (i == 0 ? world.skew : 1.0) : 1.0 / (1.0 + i);
-      if (!world.budgets.empty()) b.settings.wanted.push_back({shared::kBankJob, ""});
+      if (!world.budgets.empty()) b.settings.wanted.push_back({shared::kQuotaAllocatorLease, ""});
       if (i < world.voters) {
         b.disk = std::make_unique<MemoryDisk>();
         std::vector<coordination::Voter> first;
@@ -74,7 +74,7 @@
           one.set_id(v.id);
           one.set_at(v.at);
         }
-        b.disk->bytes = coordination::all_bytes(coordination::Node::first_memory("test", i + 1, first));
+        b.disk->bytes = coordination::all_bytes(coordination::RaftNode::first_memory("test", i + 1, first));
       }
       start(i);
     }
@@ -114,11 +114,11 @@
   void start(std::size_t i) {
     Box& b = boxes_[i];
     b.settings.self.birth += 1000;
-    b.agent = std::make_unique<coordination::Agent>(b.settings, random_());
+    b.agent = std::make_unique<coordination::CoordinationProtocol>(b.settings, random_());
     if (!world_.budgets.empty()) start_sharing(i);
     if (b.disk) {
       b.disk->fails = false;
-      coordination::Memory memory;
+      coordination::PersistentState memory;
       std::size_t torn = 0;
       const std::string why = coordination::read_journal(b.disk->bytes, memory, torn);
       if (!why.empty()) return broken("a voter could not read its own file: " + why);
@@ -177,7 +177,7 @@
     seen_.trace.add_text(datagram.to);
     seen_.trace.add_text(datagram.bytes);
   }
-  void record(std::size_t receiver, const coordination::Agent::Word& word) {
+  void record(std::size_t receiver, const coordination::CoordinationProtocol::Word& word) {
     seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
     seen_.trace.add_integer(receiver);
     seen_.trace.add_integer(static_cast<std::uint64_t>(word.what));
@@ -186,11 +186,12 @@
   }
 
   void flush(std::size_t i) {
-    std::vector<coordination::Agent::Word> words = boxes_[i].agent->words();
+    std::vector<coordination::CoordinationProtocol::Word> words = boxes_[i].agent->words();
     if (Box& b = boxes_[i]; b.shared_state) {
-      for (const coordination::Agent::Word& w : words) b.shared_state->receive(b.local(now_), *b.agent, w);
+      for (const coordination::CoordinationProtocol::Word& w : words)
+        b.shared_state->receive(b.local(now_), *b.agent, w);
     }
-    for (const coordination::Agent::Word& w : words) record(i, w);
+    for (const coordination::CoordinationProtocol::Word& w : words) record(i, w);
     for (membership::Datagram& d : boxes_[i].agent->take()) {
       record(i, d);
       for (std::size_t to = 0; to < boxes_.size(); ++to) {
@@ -201,8 +202,8 @@
         if (random_() % 50 == 0) flying_.push_back({now_ + 3 * delay, i, to, d.bytes});  // twice
       }
     }
-    for (const coordination::Agent::Word& w : words) {
-      if (w.what != coordination::Agent::Word::What::effect) continue;
+    for (const coordination::CoordinationProtocol::Word& w : words) {
+      if (w.what != coordination::CoordinationProtocol::Word::What::effect) continue;
       ++seen_.effects;
       std::uint64_t& highest = boxes_[i].taken[w.job];
       if (w.number < highest)
@@ -363,14 +364,14 @@
       if (const auto p = own.wallet->lend(own.local(now_), who, ask))
         own.shared_state->lent(own.local(now_), *own.agent, who, *p);
     };
-    ports.opinions = [](std::vector<shared::Opinion>, std::size_t, std::size_t) {};
+    ports.opinions = [](std::vector<shared::ReplicaHealthSummary>, std::size_t, std::size_t) {};
     b.shared_state = std::make_unique<shared::SharedState>(set, std::move(ports), b.settings.self, random_());
     std::vector<shared::Budget> budgets = world_.budgets;
     for (shared::Budget& budget : budgets) {
       if (world_.aside_again) budget.aside = 0.6;
     }
-    b.wallet = std::make_unique<shared::Wallet>(budgets, std::vector<std::string>{"q", "s"},
-                                                b.settings.self.birth, b.local(now_));
+    b.wallet = std::make_unique<shared::QuotaHolder>(budgets, std::vector<std::string>{"q", "s"},
+                                                     b.settings.self.birth, b.local(now_));
     b.counts.clear();
   }
 
@@ -412,7 +413,7 @@
   void serve(Box& b, std::uint32_t team, Micros local) {
     seen_.wanted += team == 0;
     coordination::Count& c = b.counts[{team == 0 ? "q" : "s", "chat"}];
-    if (b.wallet->spend(local, team, 0).verdict != shared::Wallet::Verdict::within) {
+    if (b.wallet->spend(local, team, 0).verdict != shared::QuotaHolder::Verdict::within) {
       c.set_refused(c.refused() + 1);
       return;
     }
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -191,13 +191,13 @@
 
 // ---- the record's file
 
-coordination::Memory some_memory() {
+coordination::PersistentState some_memory() {
   std::vector<coordination::Voter> voters(3);
   for (std::size_t i = 0; i < 3; ++i) {
     voters[i].set_id(i + 1);
     voters[i].set_at("10.0.0.1:" + std::to_string(i + 1));
   }
-  coordination::Memory m = coordination::Node::first_memory("f", 2, voters);
+  coordination::PersistentState m = coordination::RaftNode::first_memory("f", 2, voters);
   for (std::uint64_t i = 2; i < 6; ++i) {
     coordination::Frame f;
     f.mutable_entry()->set_index(i);
@@ -209,12 +209,12 @@
 }
 
 void a_torn_end_is_cut_off_and_damage_is_refused() {
-  const coordination::Memory whole = some_memory();
+  const coordination::PersistentState whole = some_memory();
   const std::string bytes = coordination::all_bytes(whole);
   coordination::Frame last;
   *last.mutable_entry() = whole.entries.back();
   const std::size_t last_at = bytes.size() - coordination::frame_bytes(last).size();
-  coordination::Memory out;
+  coordination::PersistentState out;
   std::size_t torn = 0;
   CHECK(coordination::read_journal(bytes, out, torn).empty() && torn == 0);
   CHECK(coordination::all_bytes(out) == bytes);
@@ -230,7 +230,7 @@
     // either.
     CHECK(!why.empty() || torn > 0);
   }
-  coordination::Memory newer = whole;
+  coordination::PersistentState newer = whole;
   newer.head.set_version(coordination::kJournalVersion + 1);
   CHECK(coordination::read_journal(coordination::all_bytes(newer), out, torn).find("version") !=
         std::string::npos);
@@ -288,7 +288,7 @@
     std::vector<std::uint32_t> wants;
   } r, f;
   const auto ports = [](Site& s) {
-    coordination::SharedList::Ports p;
+    coordination::SharedEndpointList::Ports p;
     p.watch = [&s](bool on) { s.watch = on; };
     p.feed = [&s](std::string_view text) {
       s.fed.emplace_back(text);
@@ -299,10 +299,11 @@
     p.want = [&s](std::uint32_t rev) { s.wants.push_back(rev); };
     return p;
   };
-  coordination::SharedList::Settings set;
-  coordination::SharedList reader(clock, set, ports(r), "d", 1), follower(clock, set, ports(f), "d", 2);
-  using State = coordination::SharedList::State;
-  for (coordination::SharedList* l : {&reader, &follower}) {
+  coordination::SharedEndpointList::Settings set;
+  coordination::SharedEndpointList reader(clock, set, ports(r), "d", 1),
+      follower(clock, set, ports(f), "d", 2);
+  using State = coordination::SharedEndpointList::State;
+  for (coordination::SharedEndpointList* l : {&reader, &follower}) {
     l->observe(true);
     l->line(0, 1, "whole");
   }
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -12,11 +12,11 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace flintglade;
   const std::string bytes(reinterpret_cast<const char*>(data), size);
-  coordination::Memory memory;
+  coordination::PersistentState memory;
   std::size_t torn = 0;
   if (coordination::read_journal(bytes, memory, torn).empty() && torn > size) std::abort();
 
-  coordination::AgentSettings set;
+  coordination::CoordinationSettings set;
   set.peers.fleet = "f";
   set.peers.most_peers = 16;
   set.self = {"a", "north", "10.0.0.1:1", 1000};
@@ -31,15 +31,15 @@
   budget.whole = 1000 * shared::kOne;
   budget.window = core::kSecond;
   sharing.budgets = {budget};
-  shared::Wallet wallet(sharing.budgets, {"t"}, 1000, 0);
+  shared::QuotaHolder wallet(sharing.budgets, {"t"}, 1000, 0);
   shared::SharedState::Ports ports;
   ports.unix_time = [] { return core::Micros{1'700'000'000'000'000}; };
   ports.parcel = [&](const coordination::Parcel& part) { wallet.parcel(1000, part); };
   ports.lend = [&](const std::string& who, const coordination::Ask& ask) { wallet.lend(1000, who, ask); };
-  ports.opinions = [](std::vector<shared::Opinion>, std::size_t, std::size_t) {};
+  ports.opinions = [](std::vector<shared::ReplicaHealthSummary>, std::size_t, std::size_t) {};
   shared::SharedState shared_state(sharing, ports, set.self, 1);
   shared_state.restore(0, bytes);
-  coordination::Agent agent(set, 1);
+  coordination::CoordinationProtocol agent(set, 1);
   agent.start(0);
   coordination::Packet p;
   if (!p.ParseFromString(bytes)) return 0;
--- a/tests/fuzz/state.cpp
+++ b/tests/fuzz/state.cpp
@@ -19,7 +19,7 @@
   bytes.append(reinterpret_cast<const char*>(data), size);
   core::Broker::Handed out;
   bool same_list = false;
-  if (!hot_restart::read_state(bytes, {"", "", 10, 0}, 20, out, same_list).empty()) return 0;
+  if (!hot_restart::decode_snapshot(bytes, {"", "", 10, 0}, 20, out, same_list).empty()) return 0;
   if (out.learned.waits.size() != out.learned.class_work.size() ||
       out.learned.quota_at.size() != out.learned.quota_tokens.size() || !(out.learned.admit > 0.0))
     std::abort();
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -81,13 +81,13 @@
 std::string read(const std::string& bytes, Broker::Handed& out, const Origin& reader = kReader,
                  core::Micros now = kNow) {
   bool same_list = false;
-  return hot_restart::read_state(bytes, reader, now, out, same_list);
+  return hot_restart::decode_snapshot(bytes, reader, now, out, same_list);
 }
 
 void what_is_written_is_read() {
   falsified(rc::check("written and read", [] {
     const Broker::Handed before = handed();
-    const std::string bytes = write_state(before, kWriter, kNow - 1000);
+    const std::string bytes = encode_snapshot(before, kWriter, kNow - 1000);
     Broker::Handed after;
     RC_ASSERT(read(bytes, after) == "");
     RC_ASSERT(after.version == before.version && after.entries.size() == before.entries.size());
@@ -106,13 +106,13 @@
     // All the rest by writing it again.
     Broker::Handed again = after;
     again.entries = before.entries;
-    RC_ASSERT(write_state(again, kWriter, kNow - 1000) == bytes);
+    RC_ASSERT(encode_snapshot(again, kWriter, kNow - 1000) == bytes);
   }));
 }
 
 void a_changed_byte_is_noticed() {
   falsified(rc::check("changed and cut", [] {
-    std::string bytes = write_state(handed(), kWriter, kNow - 1000);
+    std::string bytes = encode_snapshot(handed(), kWriter, kNow - 1000);
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
     Broker::Handed out;
     RC_ASSERT(read(bytes.substr(0, at), out) != "");
@@ -127,30 +127,31 @@
     core::Micros now = kNow;
     change(reader, now);
     Broker::Handed out;
-    return read(write_state({}, kWriter, kNow - 1000), out, reader, now);
+    return read(encode_snapshot({}, kWriter, kNow - 1000), out, reader, now);
   };
   CHECK(by([](Origin&, core::Micros&) {}) == "");
   CHECK(by([](Origin& r, core::Micros&) { r.router = "n2"; }) == "it is another router's");
   CHECK(by([](Origin& r, core::Micros&) { r.unix_less_monotonic += 60'000; }) == "its clock is another one");
-  CHECK(by([](Origin& r, core::Micros&) { r.began = kWriter.began; }) == hot_restart::kOurOwn);
-  CHECK(by([](Origin&, core::Micros& now) { now += hot_restart::kStateAge; }) == "it is old");
+  CHECK(by([](Origin& r, core::Micros&) { r.began = kWriter.began; }) == hot_restart::kWriterNotOlder);
+  CHECK(by([](Origin&, core::Micros& now) { now += hot_restart::kMaxSnapshotAge; }) == "it is old");
   CHECK(by([](Origin&, core::Micros& now) { now -= 2000; }) == "it is old");  // of the future
   Broker::Handed h;
   Broker::Handed out;
   bool same_list = true;
   Origin elsewhere = kReader;
   elsewhere.discovery = "127.0.0.1:8501";
-  CHECK(hot_restart::read_state(write_state(h, kWriter, kNow), elsewhere, kNow, out, same_list) == "" &&
+  CHECK(hot_restart::decode_snapshot(encode_snapshot(h, kWriter, kNow), elsewhere, kNow, out, same_list) ==
+            "" &&
         !same_list);
   for (const double wrong : {std::nan(""), std::numeric_limits<double>::infinity(), -1.0, 1e300}) {
     h.learned.admit = wrong;
-    CHECK(read(write_state(h, kWriter, kNow), out) == "it holds numbers that cannot be");
+    CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "it holds numbers that cannot be");
   }
   h.learned.admit = 1.0;
   h.learned.kinds[0] = {};
-  CHECK(read(write_state(h, kWriter, kNow), out) == "");
+  CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "");
   h.learned.read_costs[0] = {0.0, 3.0};  // three samples of no time at all
-  CHECK(read(write_state(h, kWriter, kNow), out) == "it holds numbers that cannot be");
+  CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "it holds numbers that cannot be");
 }
 
 }  // namespace
--- a/tests/measure/dns.cpp
+++ b/tests/measure/dns.cpp
@@ -120,7 +120,7 @@
   file.mutable_resolver()->add_servers("127.0.0.1:" + std::to_string(server.port()));
   file.mutable_resolver()->set_cache_entries(200000);
   const long before = resident_kb();
-  endpoint_sources::Sources sources(io, clock, watch, file, specs);
+  endpoint_sources::EndpointSources sources(io, clock, watch, file, specs);
   std::size_t told = 0;
   sources.tell([&told](core::ListNews news) { told += news.entries.size(); });
   sources.start("");
--- a/tests/measure/shared.cpp
+++ b/tests/measure/shared.cpp
@@ -24,13 +24,13 @@
   wide.aside = 0.5;
   wide.per_s = 14'000'000 * kOne;
   wide.burst = 14'000'000 * kOne;
-  shared::Wallet wallet({wide, stock}, {"q", "s"}, 1, 0);
+  shared::QuotaHolder wallet({wide, stock}, {"q", "s"}, 1, 0);
   constexpr int kChecks = 5'000'000;
   std::uint64_t within = 0;
   const auto from = std::chrono::steady_clock::now();
   for (int i = 0; i < kChecks; ++i)
     within +=
-        wallet.spend(i, static_cast<std::uint32_t>(i & 1), 0).verdict == shared::Wallet::Verdict::within;
+        wallet.spend(i, static_cast<std::uint32_t>(i & 1), 0).verdict == shared::QuotaHolder::Verdict::within;
   const double ns = std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - from).count();
   std::printf("a budget check: %.0f ns (%llu within)\n\n", ns / kChecks,
               static_cast<unsigned long long>(within));
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -63,7 +63,7 @@
 }
 
 struct World {
-  Membership m{Settings{}, {list_source(), dns_source("a"), dns_source("b")}};
+  EndpointMerger m{Settings{}, {list_source(), dns_source("a"), dns_source("b")}};
   Micros now = 100 * kSecond;
   Health health(int n) const {
     const auto it = m.verdicts().find(address(n));
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -133,7 +133,7 @@
   hash.add(static_cast<std::uint64_t>(known.down));
 }
 
-void add_tables(RecordingHash& hash, const Learned& learned) {
+void add_tables(RecordingHash& hash, const LearnedState& learned) {
   for (const auto& [kind, size] : learned.live_top) {
     hash.add(kind);
     hash.add_figure(size);
@@ -163,7 +163,7 @@
   }
 }
 
-void add(RecordingHash& hash, const Learned& learned) {
+void add(RecordingHash& hash, const LearnedState& learned) {
   add_tables(hash, learned);
   for (const Wait& wait : learned.waits) {
     hash.add_figure(wait.mean);
@@ -402,12 +402,12 @@
   // A new router takes what the last one has learned, after its first list or before it. The last one still
   // ends what it has begun.
   void take_over(bool list_first) {
-    const Learned learned = routers_.back()->learned();
+    const LearnedState learned = routers_.back()->learned();
     add(hash_, learned);
     start_router();
     record(kTakeover, list_first, 0);
     if (list_first) tell_list(ListKind::full);
-    Learned of_other_settings = learned;
+    LearnedState of_other_settings = learned;
     of_other_settings.waits.emplace_back();
     router(calling_).adopt(now_, of_other_settings, *this);  // to be passed over
     router(routers_.size() - 1).adopt(now_, learned, *this);
--- a/tests/recordings/frozen_names_test.cpp
+++ b/tests/recordings/frozen_names_test.cpp
@@ -150,7 +150,7 @@
   core::Counters counters;
   counters.written = 4;
   counters.answers = {{11, 12, 13}, {21, 22, 23}};
-  admin::Figures figures;
+  admin::Metrics figures;
   figures.counters = &counters;
   figures.classes = {"chat", "bulk"};
   figures.active = 5;
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -166,7 +166,7 @@
 
 // ---- the merge of endpoint sources
 
-using endpoint_sources::Membership;
+using endpoint_sources::EndpointMerger;
 
 constexpr int kAddresses = 24;
 constexpr int kEvents = 6000;
@@ -354,7 +354,7 @@
   }
 
   EventRandom random_;
-  Membership merge_{endpoint_sources::Settings{}, sources(3)};
+  EndpointMerger merge_{endpoint_sources::Settings{}, sources(3)};
   core::Micros now_ = 100 * core::kSecond;
   std::uint32_t version_ = 1;
   FnvHash hash_;
@@ -376,7 +376,7 @@
 class HearsayRecorder {
  public:
   explicit HearsayRecorder(std::uint64_t seed)
-      : random_(seed), routers_(kRouters, shared::Witness(settings())) {
+      : random_(seed), routers_(kRouters, shared::HealthObserver(settings())) {
     for (std::uint64_t replica = 1; replica <= kReplicas; ++replica) ready_.insert(replica);
   }
 
@@ -398,7 +398,7 @@
     return out;
   }
 
-  void one_event(shared::Witness& router) {
+  void one_event(shared::HealthObserver& router) {
     const std::uint64_t replica = random_.between(1, kReplicas + 1);
     if (random_.one_in(10)) return router.first_event(now_, replica);
     if (fails(replica) && !random_.one_in(10)) return router.call_ended(now_, replica, failure());
@@ -428,13 +428,13 @@
 
   void act() {
     const auto opinions = shared::weigh(now_, settings_, heard_, "r0");
-    for (const shared::Opinion& opinion : opinions) {
+    for (const shared::ReplicaHealthSummary& opinion : opinions) {
       hash_.add_integer(opinion.replica);
       for (const std::uint32_t n : {opinion.bad, opinion.good, opinion.sites}) hash_.add_integer(n);
       hash_.add_integer(static_cast<std::uint64_t>(opinion.age));
     }
     for (const auto& warning :
-         shared::Caution(settings_).act(now_, opinions, ready_, routers_[0], kRouters, 2)) {
+         shared::EjectionPolicy(settings_).act(now_, opinions, ready_, routers_[0], kRouters, 2)) {
       ++warnings_;
       hash_.add_integer(warning.replica);
       hash_.add_integer(static_cast<std::uint64_t>(warning.span));
@@ -443,8 +443,8 @@
 
   EventRandom random_;
   shared::Settings settings_ = settings();
-  std::vector<shared::Witness> routers_;
-  shared::Heard<coordination::Seen> heard_{kRouters};
+  std::vector<shared::HealthObserver> routers_;
+  shared::VersionedTable<coordination::Seen> heard_{kRouters};
   std::set<core::ReplicaId> ready_;
   core::Micros now_ = 100 * core::kSecond;
   std::uint64_t version_ = 0;
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -77,7 +77,7 @@
     expect_same(read.at(key), value);
   }
 }
-void expect_same_sums(const policy::Learned& read, const policy::Learned& sample) {
+void expect_same_sums(const policy::LearnedState& read, const policy::LearnedState& sample) {
   EXPECT_EQ(read.started, sample.started);
   expect_same(read.stay, sample.stay);
   expect_same(read.arrived, sample.arrived);
@@ -96,7 +96,7 @@
   EXPECT_EQ(read.saved_retries, sample.saved_retries);
   EXPECT_EQ(read.saved_hedges, sample.saved_hedges);
 }
-void expect_same(const policy::Learned& read, const policy::Learned& sample) {
+void expect_same(const policy::LearnedState& read, const policy::LearnedState& sample) {
   expect_same_sums(read, sample);
   expect_same_table(read.kinds, sample.kinds);
   expect_same_table(read.read_costs, sample.read_costs);
@@ -131,9 +131,9 @@
   reader.began = 5 * core::kSecond;
   core::Broker::Handed read;
   bool same_list = false;
-  ASSERT_EQ(
-      hot_restart::read_state(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli, read, same_list),
-      "");
+  ASSERT_EQ(hot_restart::decode_snapshot(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli, read,
+                                         same_list),
+            "");
   EXPECT_TRUE(same_list);
   const core::Broker::Handed sample = sample_state();
   EXPECT_EQ(read.version, sample.version);
@@ -152,7 +152,7 @@
   const auto refusal = [](const hot_restart::Origin& reader, core::Micros now) {
     core::Broker::Handed read;
     bool same_list = false;
-    return hot_restart::read_state(fixture(kStateFile), reader, now, read, same_list);
+    return hot_restart::decode_snapshot(fixture(kStateFile), reader, now, read, same_list);
   };
   hot_restart::Origin reader = state_writer();
   EXPECT_NE(refusal(reader, kStateWrittenAt), "");  // no younger than its writer
@@ -170,17 +170,18 @@
 }
 
 TEST_F(StoredData, StateSnapshotIsWrittenAsBefore) {
-  EXPECT_EQ(hot_restart::write_state(sample_state(), state_writer(), kStateWrittenAt), fixture(kStateFile));
+  EXPECT_EQ(hot_restart::encode_snapshot(sample_state(), state_writer(), kStateWrittenAt),
+            fixture(kStateFile));
 }
 
 // ---- a voter's file
 
 TEST_F(StoredData, VoterRecordIsRead) {
   put(kVoterFile, "/record.log");
-  coordination::Disk disk;
-  coordination::Memory read;
+  coordination::FileRaftStorage disk;
+  coordination::PersistentState read;
   ASSERT_EQ(disk.open(folder_, read), "");
-  const coordination::Memory sample = sample_voter_memory();
+  const coordination::PersistentState sample = sample_voter_memory();
   EXPECT_EQ(read.head.fleet(), kVoterFleet);
   EXPECT_EQ(read.head.id(), kVoterId);
   EXPECT_EQ(read.head.version(), 1u);
@@ -197,13 +198,13 @@
 
 TEST_F(StoredData, VoterRecordHoldsTheAgreedTable) {
   put(kVoterFile, "/record.log");
-  coordination::Disk disk;
-  coordination::Memory memory;
+  coordination::FileRaftStorage disk;
+  coordination::PersistentState memory;
   ASSERT_EQ(disk.open(folder_, memory), "");
-  coordination::AgentSettings settings;
+  coordination::CoordinationSettings settings;
   settings.peers.fleet = kVoterFleet;
   settings.self = {"r2", "north", "10.0.0.2:7000", 2000};
-  coordination::Agent agent(settings, 1);
+  coordination::CoordinationProtocol agent(settings, 1);
   ASSERT_EQ(agent.vote(std::move(memory), disk), "");
   const coordination::Table& table = agent.table();
   EXPECT_EQ(table.last_number(), 2u);
@@ -310,7 +311,7 @@
 // The two that wrote it are gone, so their slots are free; who joins goes on counting where they were.
 TEST_F(StoredData, ProcessSlotsAreTakenOver) {
   put(kProcessSlotsFile, kSlotsName);
-  hot_restart::Seats first, second;
+  hot_restart::ProcessSlots first, second;
   ASSERT_EQ(first.join(folder_, kSlotsRouter), "");
   first.publish({hot_restart::Stage::serving, 33, 2048, 0, 0});
   ASSERT_EQ(second.join(folder_, kSlotsRouter), "");
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -53,7 +53,7 @@
   out.down = 3 + static_cast<int>(step);
   return out;
 }
-void fill_tables(policy::Learned& learned) {
+void fill_tables(policy::LearnedState& learned) {
   learned.kinds[4] = stay(11.5, 6.25, 5.5);
   learned.kinds[5] = stay(12.5, 7.25, 5.75);
   learned.read_costs[4].per_token = 0.000125;
@@ -76,7 +76,7 @@
   learned.quota_tokens = {40.5, -2.25, 0.0};
   learned.quota_at = {5.5, 5.625, 0.25};
 }
-void fill_sums(policy::Learned& learned) {
+void fill_sums(policy::LearnedState& learned) {
   learned.started = 0.5;
   learned.stay = stay(21.5, 13.25, 5.875);
   learned.arrived = decayed(101.5, 5.8125);
@@ -200,7 +200,7 @@
 }
 // Of the entries to index 4, with two kept before it.
 coordination::Frame snapshot() {
-  coordination::Jobs jobs;
+  coordination::LeaseStateMachine jobs;
   jobs.apply(grant("bank", "r1", 1001, 0));
   jobs.apply(grant("list-north", "r2", 1002, 0));
   jobs.apply(draw());
@@ -230,8 +230,8 @@
 
 }  // namespace
 
-coordination::Memory sample_voter_memory() {
-  coordination::Memory out;
+coordination::PersistentState sample_voter_memory() {
+  coordination::PersistentState out;
   out.head.set_fleet(kVoterFleet);
   out.head.set_id(kVoterId);
   out.head.set_version(1);
@@ -247,14 +247,14 @@
 }
 
 std::string write_voter_record(const std::string& directory) {
-  coordination::Memory first = coordination::Node::first_memory(kVoterFleet, kVoterId, voters());
+  coordination::PersistentState first = coordination::RaftNode::first_memory(kVoterFleet, kVoterId, voters());
   // The library fills the voters' list up to a multiple of eight bytes, with whatever was in its memory.
   std::string& encoded = *first.entries.front().mutable_data();
   std::fill(encoded.begin() + kEncodedVoters, encoded.end(), '\0');
-  std::string why = coordination::Disk::create(directory, first);
+  std::string why = coordination::FileRaftStorage::create(directory, first);
   if (!why.empty()) return why;
-  coordination::Disk disk;
-  coordination::Memory memory;
+  coordination::FileRaftStorage disk;
+  coordination::PersistentState memory;
   why = disk.open(directory, memory);
   for (const coordination::Frame& frame : appended_frames()) {
     if (why.empty()) why = disk.append(coordination::frame_bytes(frame));
@@ -306,7 +306,7 @@
 // ---- the processes' slots
 
 std::string write_process_slots(const std::string& folder) {
-  hot_restart::Seats first, second;
+  hot_restart::ProcessSlots first, second;
   if (!first.join(folder, kSlotsRouter).empty()) return "";
   first.publish({hot_restart::Stage::draining, 812, 700'000, 0, 0});
   if (!second.join(folder, kSlotsRouter).empty()) return "";
--- a/tests/recordings/stored_samples.h
+++ b/tests/recordings/stored_samples.h
@@ -27,7 +27,7 @@
 inline constexpr char kVoterFleet[] = "glasshouse";
 inline constexpr std::uint64_t kVoterId = 2;
 // What the file holds once it is read.
-coordination::Memory sample_voter_memory();
+coordination::PersistentState sample_voter_memory();
 // Makes record.log in this directory, as a voter does: its head, then vote, entries, a truncation, a snapshot
 // and one more entry are appended. Empty, or what failed.
 std::string write_voter_record(const std::string& directory);
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -105,7 +105,7 @@
 // The record: whatever is drawn, by whomever and in whatever order, a window's draws never pass its whole.
 bool draws_never_pass_the_whole() {
   return rc::check("draws never pass the least whole that anybody named", [] {
-    coordination::Jobs jobs;
+    coordination::LeaseStateMachine jobs;
     coordination::Command grant;
     grant.mutable_grant()->set_job("bank");
     std::map<std::int64_t, std::pair<std::int64_t, std::int64_t>> windows;  // drawn, the least whole
@@ -142,8 +142,8 @@
   World w = sharing(1);
   shared::Budget stock = w.budgets[1];
   stock.aside = 0;
-  shared::Wallet wallet({stock}, {"q", "s"}, 1000, 0);
-  using Verdict = shared::Wallet::Verdict;
+  shared::QuotaHolder wallet({stock}, {"q", "s"}, 1000, 0);
+  using Verdict = shared::QuotaHolder::Verdict;
   CHECK(wallet.spend(0, 0, 0).verdict == Verdict::unlimited &&
         wallet.spend(0, 9, 0).verdict == Verdict::unlimited);
   CHECK(wallet.spend(0, 1, 0).verdict == Verdict::refused);
@@ -238,7 +238,7 @@
       }
     }
     const auto read = [](const std::vector<coordination::Row>& in) {
-      shared::Ledger ledger(shared::Settings{}, "reader", 1, "");
+      shared::ReplicatedCounter ledger(shared::Settings{}, "reader", 1, "");
       for (const coordination::Row& r : in) CHECK(ledger.take(0, r, 0, 0).empty());
       std::uint64_t sum = 0;
       for (const auto& [key, total] : ledger.totals(0)) sum += total.count.served();
@@ -257,13 +257,13 @@
 }
 
 void a_new_life_takes_in_the_one_before() {
-  shared::Ledger young(shared::Settings{}, "a", 5, "");
+  shared::ReplicatedCounter young(shared::Settings{}, "a", 5, "");
   young.seal(0, {{{"t", "c"}, row("", 0, 0, 7).counts(0)}});
   CHECK(young.take(0, row("a", 3, 4, 100), 0, 0).empty());
   CHECK(young.seal(1, {{{"t", "c"}, row("", 0, 0, 8).counts(0)}}));
   const coordination::Row told = young.rows().all().begin()->second.entry;
   CHECK(young.rows().all().size() == 1 && told.folded_size() == 1 && told.folded(0).version() == 4);
-  shared::Ledger other(shared::Settings{}, "b", 1, "");
+  shared::ReplicatedCounter other(shared::Settings{}, "b", 1, "");
   CHECK(other.take(0, row("a", 3, 4, 100), 0, 0).empty() && other.take(0, told, 0, 0).empty());
   CHECK(other.take(0, row("a", 3, 2, 50), 0, 0).empty());  // it does not come back
   CHECK(other.rows().all().size() == 1);
@@ -277,7 +277,7 @@
   CHECK(!other.take(0, row("b", 1, 99, 1), 0, 0).empty());
   shared::Settings few;
   few.most_rows = 3;
-  shared::Ledger small(few, "s", 1, "");
+  shared::ReplicatedCounter small(few, "s", 1, "");
   for (int i = 0; i < 9; ++i) small.take(0, row("n" + std::to_string(i), 1, 1, 1), 0, 0);
   CHECK(small.rows().all().size() == 3 && small.rows().dropped() == 6);
 }
@@ -289,7 +289,7 @@
     shared::Settings set;
     set.hearsay = true;
     const Micros now = 100 * core::kSecond;
-    shared::Heard<coordination::Seen> heard(1000);
+    shared::VersionedTable<coordination::Seen> heard(1000);
     std::map<core::ReplicaId, std::set<std::string>> bad, good, sites;
     for (int i = *rc::gen::inRange(0, 12); i > 0; --i) {
       coordination::Seen s;
@@ -310,11 +310,11 @@
       }
       heard.take(now, s, 0, 0);
     }
-    shared::Witness own(set);
+    shared::HealthObserver own(set);
     own.first_event(now, 3);
     const std::set<core::ReplicaId> ready{1, 2, 3, 4, 5, 6, 7};  // 8 is not on this router's list
     const auto warnings =
-        shared::Caution(set).act(now, shared::weigh(now, set, heard, "me"), ready, own, 13, 3);
+        shared::EjectionPolicy(set).act(now, shared::weigh(now, set, heard, "me"), ready, own, 13, 3);
     RC_ASSERT(warnings.size() <= static_cast<std::size_t>(set.most_part * 7));
     for (const auto& w : warnings) {
       RC_ASSERT(bad[w.replica].size() >= set.witnesses && bad[w.replica].size() > good[w.replica].size());
@@ -325,7 +325,7 @@
 }
 
 void a_witness_tells_of_rows_of_failures() {
-  shared::Witness w{shared::Settings{}};
+  shared::HealthObserver w{shared::Settings{}};
   using flintglade::policy::Outcome;
   w.call_ended(0, 1, Outcome::reset);
   CHECK(w.cases(0).empty() && !w.changed());
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -306,11 +306,11 @@
 void nothing_is_due_where_nothing_is_open() {
   Core c;
   boost::asio::io_context io(1);
-  http::HttpSubchannels subchannels(io, *c.broker, c.ports, {});
-  http::HttpFront front(io, *c.broker, c.ports, {{}, [] { return std::size_t{8}; }});
+  http::HttpReplicaClient subchannels(io, *c.broker, c.ports, {});
+  http::HttpServer front(io, *c.broker, c.ports, {{}, [] { return std::size_t{8}; }});
   CHECK(io.poll() == 0 && io.stopped());  // no timer is set
   int rung = 0;
-  http::Due due(io, c.ports, [&rung] { ++rung; });
+  http::IdleTimer due(io, c.ports, [&rung] { ++rung; });
   due.by(core::kNever);
   due.by(c.ports.time + core::kSecond);
   due.by(c.ports.time);
@@ -584,7 +584,7 @@
       "tenant { metadata: 'x-team' otherwise: 'last' } session { parameters: 'sequence_id' } "
       "timeout_us { parameters: 'timeout' } }",
       &file));
-  const kserve::FrontSettings set = kserve::front_settings(file);
+  const kserve::ServerSettings set = kserve::front_settings(file);
   std::map<std::string, std::string> metadata;
   inference::ModelInferRequest request;
   const auto mapped = [&](const kserve::Model& model) {
@@ -745,7 +745,7 @@
 
 void who_goes_first_in_a_crowd() {
   using http::Client;
-  using http::Crowd;
+  using http::ConnectionEviction;
   constexpr Micros now = 100 * core::kSecond, ms = core::kMilli;
   struct Row {
     Client client;
@@ -753,17 +753,19 @@
   };
   const Row rows[] = {
       // busy, asked, half, connected, moved
-      {{true, true, false, 0, 0}, Crowd::kNobody},               // a request is open: never
-      {{false, true, false, 0, now - 90 * ms}, Crowd::kNobody},  // its answer may be on its way
-      {{false, true, false, 0, now - 110 * ms}, 0},              // it has its answer
-      {{false, false, false, now - 240 * ms, now - 240 * ms}, Crowd::kNobody},  // it may be about to write
+      {{true, true, false, 0, 0}, ConnectionEviction::kNobody},               // a request is open: never
+      {{false, true, false, 0, now - 90 * ms}, ConnectionEviction::kNobody},  // its answer may be on its way
+      {{false, true, false, 0, now - 110 * ms}, 0},                           // it has its answer
+      {{false, false, false, now - 240 * ms, now - 240 * ms},
+       ConnectionEviction::kNobody},  // it may be about to write
       {{false, false, false, now - 260 * ms, now - 260 * ms}, 1},
-      {{false, false, true, now - 2000 * ms, now - 200 * ms}, Crowd::kNobody},  // it writes in pieces
+      {{false, false, true, now - 2000 * ms, now - 200 * ms},
+       ConnectionEviction::kNobody},  // it writes in pieces
       {{false, false, true, now - 2000 * ms, now - 300 * ms}, 2},
       {{false, true, true, 0, now - 300 * ms}, 2},  // the next request on a kept connection, stopped half-way
   };
-  for (const Row& row : rows) CHECK(Crowd::order(row.client, now) == row.order);
-  const Crowd crowd(80);
+  for (const Row& row : rows) CHECK(ConnectionEviction::order(row.client, now) == row.order);
+  const ConnectionEviction crowd(80);
   CHECK(!crowd.filling(40) && crowd.filling(41) && !crowd.pressing(70) && crowd.pressing(71));
 }
 
