--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -163,8 +163,8 @@
   virtual void busy(RequestId id, double not_before_for) = 0;  // final: refused, a retry is harmless
   virtual void fail(RequestId id) = 0;                         // final: failed
   virtual void stop_attempt(RequestId id, std::uint16_t attempt) = 0;
-  virtual void set_alarm(double span, std::uint64_t cookie) = 0;
-  virtual void observe(bool on) = 0;  // subscribe to list changes
+  virtual void set_timer(double span, std::uint64_t cookie) = 0;
+  virtual void subscribe(bool on) = 0;  // subscribe to list changes
 };
 
 class Balancer {
--- a/src/commands/fleet_member.cpp
+++ b/src/commands/fleet_member.cpp
@@ -59,12 +59,12 @@
       watch_(watch),
       job_(job_of(file.site())),
       site_(file.site()),
-      set_(settings(file, config)),
+      settings_(settings(file, config)),
       shares_(file.has_shared()
-                  ? std::make_unique<SharedStateBridge>(io, clock, file, config, set_.agent.self)
+                  ? std::make_unique<SharedStateBridge>(io, clock, file, config, settings_.agent.self)
                   : nullptr),
       alarm_(io),
-      member_((set_.companion = shares_ ? shares_->companion() : nullptr, set_),
+      member_((settings_.companion = shares_ ? shares_->companion() : nullptr, settings_),
               [this](const coordination::CoordinationProtocol::Word& w) {
                 boost::asio::post(io_, [this, w] { take(w); });
               }) {
@@ -74,7 +74,7 @@
   set.silence = micros(file.has_list_silence_s(), file.list_silence_s(), set.silence);
   set.spread = set.silence / 2;
   coordination::SharedEndpointList::Ports ports;
-  ports.watch = [this](bool on) { watch_.observe(on); };
+  ports.watch = [this](bool on) { watch_.subscribe(on); };
   ports.feed = [this](std::string_view text) { return watch_.feed(text); };
   ports.publish = [this](coordination::Effect e) {
     e.set_job(job_);
@@ -94,8 +94,8 @@
   });
 }
 
-core::ReplicaList& FleetMember::list() {
-  return shared_ ? static_cast<core::ReplicaList&>(*shared_) : watch_;
+core::EndpointList& FleetMember::list() {
+  return shared_ ? static_cast<core::EndpointList&>(*shared_) : watch_;
 }
 
 void FleetMember::start(core::Broker& core) {
--- a/src/commands/fleet_member.h
+++ b/src/commands/fleet_member.h
@@ -24,7 +24,7 @@
               const deploy::Fleet& file, const config::Config& config);
 
   // What the core asks for its list: the watch, or what one router of the site reads for all.
-  core::ReplicaList& list();
+  core::EndpointList& list();
   // core: budgets are asked there, and what is heard of replicas is told there.
   void start(core::Broker& core);
   void moved(const config::HostPort& discovery);
@@ -41,7 +41,7 @@
   discovery::Watch& watch_;
   const std::string job_, site_;
   std::optional<coordination::SharedEndpointList> shared_;
-  coordination::CoordinationRuntime::Settings set_;
+  coordination::CoordinationRuntime::Settings settings_;
   std::unique_ptr<SharedStateBridge> shares_;
   boost::asio::steady_timer alarm_;
   coordination::CoordinationRuntime member_;  // last: its thread ends before what it posts to
--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -77,7 +77,7 @@
 }
 
 void HotRestartCoordinator::leave_state() {
-  snapshot_file_.save(hot_restart::encode_snapshot(broker_.hand(), origin_, clock_.now()),
+  snapshot_file_.save(hot_restart::encode_snapshot(broker_.snapshot(), origin_, clock_.now()),
                       [](const std::string& why) {
                         if (!why.empty()) log::event(Level::warn, "state_not_left", {{"why", why}});
                       });
@@ -86,7 +86,7 @@
 void HotRestartCoordinator::take_state() {
   snapshot_file_.load(hot_restart::kMaxSnapshotBytes, [this](const std::string& bytes) {
     if (bytes.empty() || broker_.phase() == core::Phase::draining) return;
-    core::Broker::Handed state;
+    core::Broker::ProcessSnapshot state;
     bool same_list = false;
     const std::string why = hot_restart::decode_snapshot(bytes, origin_, clock_.now(), state, same_list);
     if (why == hot_restart::kWriterNotOlder) return;
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -115,7 +115,7 @@
          const std::function<void()>& serving, const std::function<void()>& close_idle) {
   bool closed_idle = false, served = false;
   while (broker.phase() != core::Phase::stopped) {
-    const Micros alarm = broker.next_alarm();
+    const Micros alarm = broker.next_timer();
     if (alarm == core::kNever) {
       io.run_one();
     } else {
@@ -124,9 +124,9 @@
     int handlers = 0;
     while (handlers < kMostHandlersATurn && io.poll_one() > 0) ++handlers;
     before(handlers < kMostHandlersATurn);
-    broker.turn();
+    broker.run_iteration();
     if (broker.ready() && !std::exchange(served, true)) serving();
-    if (broker.phase() == core::Phase::draining && !broker.lingering() && !closed_idle) {
+    if (broker.phase() == core::Phase::draining && !broker.accepts_new_clients() && !closed_idle) {
       closed_idle = true;
       close_idle();
     }
@@ -204,7 +204,7 @@
   settings.drain_grace = core::write_grace(config.drain_grace);
   settings.answer_grace = config.answer_grace;
   settings.cancel_hold = static_cast<Micros>(file.calls().cancel_hold_s() * 1e6);
-  if (!config.module.resume) settings.stall = kLongestGap;
+  if (!config.module.resume) settings.stall_timeout = kLongestGap;
   settings.drain_limit = std::min(settings.drain_limit, longest(config.module) + 400 * core::kMilli);
   settings.body_budget = whole.bodies;
   std::unique_ptr<endpoint_sources::EndpointSources> sources;
@@ -212,13 +212,15 @@
     sources = std::make_unique<endpoint_sources::EndpointSources>(io, clock, watch, file.membership(), specs);
   std::optional<FleetMember> fleet_member;
   if (file.has_fleet()) fleet_member.emplace(io, clock, watch, file.fleet(), config);
-  core::ReplicaList& list = sources        ? static_cast<core::ReplicaList&>(*sources)
-                            : fleet_member ? fleet_member->list()
-                                           : watch;
+  core::EndpointList& list = sources        ? static_cast<core::EndpointList&>(*sources)
+                             : fleet_member ? fleet_member->list()
+                                            : watch;
   core::Broker broker(settings, config.module, config.seed, clock, list);
   core = &broker;
   if (log::enabled(Level::debug)) broker.trace(write_trace);
-  const auto told = [&broker](core::ListNews news) { broker.list_news(std::move(news)); };
+  const auto told = [&broker](core::EndpointListUpdate news) {
+    broker.on_endpoint_list_update(std::move(news));
+  };
   if (sources) {
     sources->tell(told);
   } else {
@@ -257,12 +259,13 @@
 
   // A yes is heard only once our seat says so too: the other process may be told to end at that very moment.
   bool announced = false;
-  admin::Server admin(io, {[&broker, &announced] { return announced && broker.ready(); },
-                           [&broker] { return std::string(to_string(broker.phase())); },
-                           [&broker, &config] {
-                             return admin::render({&broker.counters(), config.classes, broker.open_rpcs(),
-                                                   broker.listed_replicas(), broker.avoided_replicas()});
-                           }});
+  admin::Server admin(
+      io, {[&broker, &announced] { return announced && broker.ready(); },
+           [&broker] { return std::string(to_string(broker.phase())); },
+           [&broker, &config] {
+             return admin::render({&broker.counters(), config.classes, broker.requests_in_flight(),
+                                   broker.listed_replicas(), broker.avoided_replicas()});
+           }});
   if (!config.admin.host.empty()) {
     error = admin.listen(config.admin);
     if (!error.empty()) return diagnose(error);
@@ -409,7 +412,7 @@
     unready.async_wait([&](boost::system::error_code ec) {
       if (ec || broker.phase() != core::Phase::starting) return;
       log::event(Level::warn, "not_ready",
-                 {{"why", broker.unready_because()},
+                 {{"why", broker.not_ready_reason()},
                   {"sources", sources ? sources->status() : "list at " + watch.status()}});
       tell_unready(kTellUnready);
     });
@@ -425,7 +428,7 @@
     } else if (signal == SIGHUP) {
       reload();
     } else {
-      log::event(Level::info, "draining", {{"open", broker.open_rpcs()}});
+      log::event(Level::info, "draining", {{"open", broker.requests_in_flight()}});
       if (fleet_member) fleet_member->leave();
       const bool followed = handoff && handoff->hand_over();
       broker.drain(followed);
@@ -441,8 +444,8 @@
         if (seats.has_slot()) broker.body_budget(mine().bodies);  // and the others see what this process uses
         if (idle && handoff) handoff->idle();
         if (broker.phase() != core::Phase::draining) return;
-        broker.expecting(http_front.half_read());
-        if (!broker.takes()) http_front.refuse_half_read();
+        broker.set_partially_read_requests(http_front.partially_read_requests());
+        if (!broker.accepts_requests()) http_front.refuse_half_read();
       },
       [&] {
         mine();
--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -75,14 +75,14 @@
     : io_(io),
       clock_(clock),
       config_(config),
-      set_(settings(file)),
+      settings_(settings(file)),
       snapshot_(file.shared().snapshot()),
-      quota_holder_(set_.budgets, config.tenants, self.birth, coordination::CoordinationRuntime::now()),
-      health_observer_(set_),
-      ejection_policy_(set_),
+      quota_holder_(settings_.budgets, config.tenants, self.birth, coordination::CoordinationRuntime::now()),
+      health_observer_(settings_),
+      ejection_policy_(settings_),
       counts_((config.tenants.size() + 1) * std::max<std::size_t>(1, config.classes.size())),
       alarm_(io) {
-  for (const auto& b : set_.budgets) {
+  for (const auto& b : settings_.budgets) {
     if (std::find(config.tenants.begin(), config.tenants.end(), b.team) == config.tenants.end())
       unknown_.push_back(b.team);
   }
@@ -108,7 +108,7 @@
     });
   };
   shared_state_ =
-      std::make_unique<shared::SharedState>(set_, std::move(ports), self, config.seed ^ self.birth);
+      std::make_unique<shared::SharedState>(settings_, std::move(ports), self, config.seed ^ self.birth);
 }
 
 void SharedStateBridge::restore() {
@@ -132,7 +132,7 @@
 
 // ---- the serving path
 
-SharedStateBridge::Word SharedStateBridge::arrived(Micros now, const core::RpcRequest& rpc) {
+SharedStateBridge::QuotaDecision SharedStateBridge::check_quota(Micros now, const core::Request& rpc) {
   const auto tokens = static_cast<shared::Amount>((rpc.prompt_tokens + rpc.output_cap) * shared::kOne);
   const shared::QuotaHolder::Spent spent =
       quota_holder_.spend(wallet_time(now), rpc.tenant, std::min(tokens, shared::kMostAmount));
@@ -140,22 +140,22 @@
     case shared::QuotaHolder::Verdict::unlimited:
       return {};
     case shared::QuotaHolder::Verdict::within:
-      return {Standing::within, 0};
+      return {QuotaStatus::within, 0};
     case shared::QuotaHolder::Verdict::last:
-      return {Standing::over, 0};
+      return {QuotaStatus::over, 0};
     case shared::QuotaHolder::Verdict::refused:
       break;
   }
-  return {Standing::refused, spent.again};
+  return {QuotaStatus::refused, spent.again};
 }
 
-void SharedStateBridge::answered(const core::RpcRequest& rpc, End how) {
+void SharedStateBridge::on_request_finished(const core::Request& rpc, RequestOutcome outcome) {
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   const std::size_t team = std::min<std::size_t>(rpc.tenant, config_.tenants.size());
   const std::size_t klass = std::min<std::size_t>(rpc.klass, classes - 1);
   coordination::Count& c = counts_[team * classes + klass];
-  if (how == End::refused) return c.set_refused(c.refused() + 1);
-  if (how == End::failed) return c.set_failed(c.failed() + 1);
+  if (outcome == RequestOutcome::refused) return c.set_refused(c.refused() + 1);
+  if (outcome == RequestOutcome::failed) return c.set_failed(c.failed() + 1);
   c.set_served(c.served() + 1);
   c.set_tokens(c.tokens() + static_cast<std::uint64_t>(std::max(0.0, rpc.prompt_tokens + rpc.output_cap)));
   if (klass < config_.module.classes.size())
@@ -191,7 +191,7 @@
 void SharedStateBridge::tell(Micros now) {
   const bool save_now = !snapshot_.empty() && now >= next_save_;
   if (save_now) next_save_ = now + kSaveEvery;
-  next_tell_ = now + set_.seal;
+  next_tell_ = now + settings_.seal;
   coordination::SharedStatus status;
   quota_holder_.status(wallet_time(now), status);
   member_->with_protocol([this, counts = counts(), status, avoided = avoided_, save_now](
@@ -223,7 +223,7 @@
   slept_ = coordination::CoordinationRuntime::now() - now;
   ask(now);
   if (now >= next_tell_) tell(now);
-  if (set_.hearsay) {
+  if (settings_.hearsay) {
     const bool changed = health_observer_.changed();
     if (changed || (had_cases_ && now >= next_seen_)) {
       auto cases = health_observer_.cases(now);
@@ -246,7 +246,7 @@
   std::set<core::ReplicaId> avoided;
   for (const auto& w : ejection_policy_.act(clock_.now(), opinions, {ready.begin(), ready.end()},
                                             health_observer_, routers, sites)) {
-    core_->warned(w.replica, w.span);
+    core_->on_health_warning(w.replica, w.span);
     avoided.insert(w.replica);
     if (avoided_.count(w.replica) == 0)
       log::event(Level::info, "avoids_by_hearsay", {{"replica", w.replica}, {"for_us", w.span}});
--- a/src/commands/shared_state_bridge.h
+++ b/src/commands/shared_state_bridge.h
@@ -19,7 +19,7 @@
 
 using core::Micros;
 
-class SharedStateBridge final : public core::Sharing {
+class SharedStateBridge final : public core::SharedStatePort {
  public:
   // self: as the member tells the others. member, core and log are borrowed and outlive it.
   SharedStateBridge(boost::asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
@@ -29,13 +29,13 @@
   void start(coordination::CoordinationRuntime& member, core::Broker& core);
   void leave();  // what is left of parts of stocks goes back, and the counts are told once more
 
-  Word arrived(Micros now, const core::RpcRequest& rpc) override;
-  void answered(const core::RpcRequest& rpc, End how) override;
-  void first_event(Micros now, core::ReplicaId replica) override {
+  QuotaDecision check_quota(Micros now, const core::Request& rpc) override;
+  void on_request_finished(const core::Request& rpc, RequestOutcome outcome) override;
+  void on_first_event(Micros now, core::ReplicaId replica) override {
     health_observer_.first_event(now, replica);
   }
-  void call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) override {
-    health_observer_.call_ended(now, replica, outcome);
+  void on_attempt_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) override {
+    health_observer_.on_attempt_ended(now, replica, outcome);
   }
   // Which budgets of the file are of no tenant that the settings name.
   const std::vector<std::string>& unknown_teams() const { return unknown_; }
@@ -53,7 +53,7 @@
   boost::asio::io_context& io_;
   core::Clock& clock_;
   const config::Config& config_;
-  shared::Settings set_;
+  shared::Settings settings_;
   std::string snapshot_;
   shared::QuotaHolder quota_holder_;
   shared::HealthObserver health_observer_;
--- a/src/config/labels.cpp
+++ b/src/config/labels.cpp
@@ -40,7 +40,7 @@
   return name.empty() ? 0 : hash_name(name);
 }
 
-std::string apply(const RequestLabels& request, const Labels& labels, core::RpcRequest& out) {
+std::string apply(const RequestLabels& request, const Labels& labels, core::Request& out) {
   if (!position(labels.classes, request.klass, out.klass)) return "the class is unknown";
   if (!labels.tenants.empty() && !position(labels.tenants, request.tenant, out.tenant))
     return "the tenant is unknown";
--- a/src/config/labels.h
+++ b/src/config/labels.h
@@ -29,6 +29,6 @@
 std::uint64_t name_to_key(std::string_view name);
 
 // Fills the fields that labels decide. Gives an empty string, or what is wrong with the request.
-std::string apply(const RequestLabels& request, const Labels& labels, core::RpcRequest& out);
+std::string apply(const RequestLabels& request, const Labels& labels, core::Request& out);
 
 }  // namespace flintglade::config
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -14,12 +14,12 @@
 }  // namespace
 
 CoordinationProtocol::CoordinationProtocol(CoordinationSettings settings, std::uint64_t seed)
-    : set_(std::move(settings)),
+    : settings_(std::move(settings)),
       random_(seed),
-      swim_(set_.peers, set_.self, seed),
-      lease_manager_(set_.lease, set_.wanted),
-      lease_holder_(set_.lease, set_.self.name) {
-  for (const VoterAt& v : set_.voters) {
+      swim_(settings_.peers, settings_.self, seed),
+      lease_manager_(settings_.lease, settings_.wanted),
+      lease_holder_(settings_.lease, settings_.self.name) {
+  for (const VoterAt& v : settings_.voters) {
     Voter voter;
     voter.set_id(v.id);
     voter.set_at(v.at);
@@ -30,7 +30,7 @@
 
 std::string CoordinationProtocol::vote(PersistentState memory, RaftStorage& storage) {
   node_ = std::make_unique<RaftNode>(
-      set_.self.at, std::move(memory), storage, set_.node, random_(),
+      settings_.self.at, std::move(memory), storage, settings_.node, random_(),
       [this](const std::string& at, const Raft& message) {
         Packet p = swim_.packet("");
         *p.mutable_raft() = message;
@@ -61,7 +61,7 @@
 void CoordinationProtocol::start(Micros now) {
   now_ = now;
   swim_.start(now);
-  next_read_ = now + std::uniform_int_distribution<Micros>(0, set_.read_every)(random_);
+  next_read_ = now + std::uniform_int_distribution<Micros>(0, settings_.read_every)(random_);
   if (node_) node_->tick(now);
   settle(now);
 }
@@ -89,7 +89,8 @@
   }
   if (swim_.displaced() && !displaced_) {
     displaced_ = true;
-    event("displaced", {{"name", set_.self.name}, {"by", "a process of this name that began later"}}, true);
+    event("displaced", {{"name", settings_.self.name}, {"by", "a process of this name that began later"}},
+          true);
     lease_holder_.record({}, 0);
   }
   if (node_ && node_->halted() && !halted_told_) {
@@ -129,10 +130,10 @@
   }
   if (displaced_) return;
   if ((!votes()) && now >= next_read_ && !voters_.empty() && leaving_ < 0) {
-    next_read_ =
-        now + set_.read_every / 2 + std::uniform_int_distribution<Micros>(0, set_.read_every)(random_);
+    next_read_ = now + settings_.read_every / 2 +
+                 std::uniform_int_distribution<Micros>(0, settings_.read_every)(random_);
     // The leader's word is kept for as long as it answers.
-    if (heard_voter_ >= 0 && now - heard_voter_ > 3 * set_.read_every) leader_at_.clear();
+    if (heard_voter_ >= 0 && now - heard_voter_ > 3 * settings_.read_every) leader_at_.clear();
     Packet p = swim_.packet("");
     p.mutable_read()->set_revision(table_.revision());
     send(voter_at(now), p);
@@ -170,10 +171,10 @@
 
 // The leader, if one is known; else the voters by turns.
 std::string CoordinationProtocol::voter_at(Micros) {
-  if (!leader_at_.empty() && leader_at_ != set_.self.at) return leader_at_;
+  if (!leader_at_.empty() && leader_at_ != settings_.self.at) return leader_at_;
   for (std::size_t i = 0; i < voters_.size(); ++i) {
     const Voter& v = voters_[voter_turn_++ % voters_.size()];
-    if (v.at() != set_.self.at) return v.at();
+    if (v.at() != settings_.self.at) return v.at();
   }
   return "";
 }
@@ -196,7 +197,8 @@
   asked_[numbers_] = {now, command.has_renew()};
   // One that does not answer is not asked for ever.
   for (const auto& [number, a] : asked_) {
-    if (number != numbers_ && now - a.sent > set_.ask_again && now - a.sent < 4 * set_.ask_again && !node_)
+    if (number != numbers_ && now - a.sent > settings_.ask_again && now - a.sent < 4 * settings_.ask_again &&
+        !node_)
       leader_at_.clear();
   }
   send(at, p);
@@ -229,7 +231,7 @@
     send(to, p);
   };
   if (!node_ || !node_->leads()) {
-    if (leader_at_ == set_.self.at) leader_at_.clear();
+    if (leader_at_ == settings_.self.at) leader_at_.clear();
     return reply(false, "not the leader", {});
   }
   if (request.has_voter_change()) return node_->change(now, request.voter_change(), reply);
@@ -268,7 +270,7 @@
 }
 
 void CoordinationProtocol::push(const std::string& router) {
-  if (router == set_.self.name) return;
+  if (router == settings_.self.name) return;
   const auto it = swim_.others().find(router);
   if (it == swim_.others().end()) return;
   Packet p = swim_.packet(router);
@@ -302,8 +304,8 @@
   now_ = now;
   Packet p;
   const bool ours = p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) &&
-                    (p.fleet() == set_.peers.fleet || (p.has_query() && p.fleet().empty())) &&
-                    (p.to().empty() || p.to() == set_.self.name);
+                    (p.fleet() == settings_.peers.fleet || (p.has_query() && p.fleet().empty())) &&
+                    (p.to().empty() || p.to() == settings_.self.name);
   if (ours && p.has_query()) {
     Packet answer = swim_.packet("");
     *answer.mutable_status() = status(now);
@@ -445,15 +447,15 @@
 
 bool CoordinationProtocol::free_of_jobs() const {
   for (const Job& j : table().jobs()) {
-    if (j.owner() == set_.self.name && j.birth() == swim_.self().birth) return false;
+    if (j.owner() == settings_.self.name && j.birth() == swim_.self().birth) return false;
   }
   return true;
 }
 
 Status CoordinationProtocol::status(Micros now) const {
   Status s;
-  s.set_name(set_.self.name);
-  s.set_site(set_.self.site);
+  s.set_name(settings_.self.name);
+  s.set_site(settings_.self.site);
   s.set_birth(swim_.self().birth);
   s.set_leader_at(leader_at_);
   s.set_displaced(displaced_);
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -122,7 +122,7 @@
   void push(const std::string& router);
   std::string voter_at(Micros now);
 
-  CoordinationSettings set_;
+  CoordinationSettings settings_;
   std::mt19937_64 random_;
   membership::Swim swim_;
   std::unique_ptr<RaftNode> node_;
--- a/src/coordination/coordination_runtime.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -47,7 +47,7 @@
 }
 
 CoordinationRuntime::CoordinationRuntime(Settings settings, OnWord on_word)
-    : set_(std::move(settings)),
+    : settings_(std::move(settings)),
       on_word_(std::move(on_word)),
       work_(io_.get_executor()),
       socket_(io_),
@@ -72,15 +72,16 @@
 // The address first: who has it is the process of this name that takes part.
 bool CoordinationRuntime::open() {
   error_code ec;
-  const auto address = asio::ip::make_address(set_.listen.host, ec);
-  const udp::endpoint at(address, static_cast<unsigned short>(set_.listen.port));
+  const auto address = asio::ip::make_address(settings_.listen.host, ec);
+  const udp::endpoint at(address, static_cast<unsigned short>(settings_.listen.port));
   if (!ec) socket_.open(at.protocol(), ec);
   if (!ec) socket_.non_blocking(true, ec);
   if (!ec) socket_.bind(at, ec);
   if (ec) {
     if (!std::exchange(told_, true))
-      log::event(Level::warn, "fleet_waits",
-                 {{"at", config::host_port(set_.listen.host, set_.listen.port)}, {"why", ec.message()}});
+      log::event(
+          Level::warn, "fleet_waits",
+          {{"at", config::host_port(settings_.listen.host, settings_.listen.port)}, {"why", ec.message()}});
     error_code ignored;
     socket_.close(ignored);
     again_.expires_after(kOpenAgain);
@@ -90,41 +91,43 @@
     return false;
   }
   const unsigned short port = socket_.local_endpoint().port();
-  if (set_.agent.self.at.empty()) set_.agent.self.at = config::host_port(set_.listen.host, port);
-  agent_ = std::make_unique<CoordinationProtocol>(set_.agent, set_.seed);
-  if (set_.voter_id != 0) {
+  if (settings_.agent.self.at.empty())
+    settings_.agent.self.at = config::host_port(settings_.listen.host, port);
+  agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
+  if (settings_.voter_id != 0) {
     const std::string why = vote();
     if (why.empty()) {
-      log::event(Level::info, "votes", {{"id", set_.voter_id}, {"directory", set_.directory}});
+      log::event(Level::info, "votes", {{"id", settings_.voter_id}, {"directory", settings_.directory}});
     } else {
-      log::event(Level::warn, "votes_not", {{"id", set_.voter_id}, {"why", why}});
+      log::event(Level::warn, "votes_not", {{"id", settings_.voter_id}, {"why", why}});
     }
   }
-  log::event(
-      Level::info, "listening",
-      {{"name", set_.agent.self.name}, {"wire", "fleet"}, {"at", config::host_port(set_.listen.host, port)}});
-  if (set_.companion != nullptr)
-    agent_->on_status([this](Micros t, Status& s) { set_.companion->status(t, *agent_, s); });
+  log::event(Level::info, "listening",
+             {{"name", settings_.agent.self.name},
+              {"wire", "fleet"},
+              {"at", config::host_port(settings_.listen.host, port)}});
+  if (settings_.companion != nullptr)
+    agent_->on_status([this](Micros t, Status& s) { settings_.companion->status(t, *agent_, s); });
   agent_->start(now());
   wait();
-  turn();
+  run_iteration();
   return true;
 }
 
 std::string CoordinationRuntime::vote() {
   disk_ = std::make_unique<FileRaftStorage>();
   PersistentState memory;
-  std::string why = disk_->open(set_.directory, memory);
+  std::string why = disk_->open(settings_.directory, memory);
   if (why.empty() && memory.head.fleet().empty())
-    why = set_.directory + " holds no record: 'flintglade fleet init'";
-  if (why.empty() && memory.head.fleet() != set_.agent.peers.fleet)
-    why = set_.directory + " is of the fleet " + memory.head.fleet();
-  if (why.empty() && memory.head.id() != set_.voter_id)
-    why = set_.directory + " is of the voter " + std::to_string(memory.head.id());
+    why = settings_.directory + " holds no record: 'flintglade fleet init'";
+  if (why.empty() && memory.head.fleet() != settings_.agent.peers.fleet)
+    why = settings_.directory + " is of the fleet " + memory.head.fleet();
+  if (why.empty() && memory.head.id() != settings_.voter_id)
+    why = settings_.directory + " is of the voter " + std::to_string(memory.head.id());
   if (why.empty()) why = agent_->vote(std::move(memory), *disk_);
   if (!why.empty()) {
     // Nothing of it takes part: the router follows the others.
-    agent_ = std::make_unique<CoordinationProtocol>(set_.agent, set_.seed);
+    agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
     disk_.reset();
   }
   return why;
@@ -149,19 +152,20 @@
     agent_->receive(now(), config::host_port(from.address().to_string(), from.port()),
                     std::string_view(buffer_).substr(0, n));
   }
-  turn();
+  run_iteration();
 }
 
-void CoordinationRuntime::turn() {
+void CoordinationRuntime::run_iteration() {
   if (!agent_) return;
   for (const Event& e : agent_->events()) write(e);
   // What the companion does can bring words of its own: what it is told of a job's turn, once more.
   for (int i = 0; i < 2; ++i) {
     for (const CoordinationProtocol::Word& w : agent_->words()) {
-      if (set_.companion != nullptr) set_.companion->receive(now(), *agent_, w);
+      if (settings_.companion != nullptr) settings_.companion->receive(now(), *agent_, w);
       if (w.what != CoordinationProtocol::Word::What::share) on_word_(w);
     }
-    if (set_.companion != nullptr && now() >= set_.companion->next()) set_.companion->tick(now(), *agent_);
+    if (settings_.companion != nullptr && now() >= settings_.companion->next())
+      settings_.companion->tick(now(), *agent_);
   }
   for (const membership::Datagram& d : agent_->take()) {
     udp::endpoint to;
@@ -178,7 +182,7 @@
 
 void CoordinationRuntime::arm() {
   Micros at = agent_->next();
-  if (set_.companion != nullptr) at = std::min(at, set_.companion->next());
+  if (settings_.companion != nullptr) at = std::min(at, settings_.companion->next());
   const Micros t = now();
   if (left_) at = std::min(at, t + 50 * core::kMilli);
   if (at == core::kNever) at = t + core::kSecond;
@@ -186,7 +190,7 @@
   timer_.async_wait([this](error_code ec) {
     if (ec) return;
     agent_->tick(now());
-    turn();
+    run_iteration();
   });
 }
 
@@ -198,7 +202,7 @@
     }
     agent_->leave(now());
     left_ = done;
-    turn();
+    run_iteration();
   });
 }
 
@@ -206,7 +210,7 @@
   asio::post(io_, [this, effect = std::move(effect), site = std::move(site), to = std::move(to)] {
     if (!agent_) return;
     agent_->effect(now(), effect, site, to);
-    turn();
+    run_iteration();
   });
 }
 
@@ -214,7 +218,7 @@
   asio::post(io_, [this, what = std::move(what)] {
     if (!agent_) return;
     what(now(), *agent_);
-    turn();
+    run_iteration();
   });
 }
 
@@ -222,7 +226,7 @@
   asio::post(io_, [this, job = std::move(job), rev] {
     if (!agent_) return;
     agent_->want(now(), job, rev);
-    turn();
+    run_iteration();
   });
 }
 
--- a/src/coordination/coordination_runtime.h
+++ b/src/coordination/coordination_runtime.h
@@ -47,11 +47,11 @@
   bool open();
   void wait();
   void read();
-  void turn();
+  void run_iteration();
   void arm();
   std::string vote();
 
-  Settings set_;
+  Settings settings_;
   OnWord on_word_;
   boost::asio::io_context io_{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
--- a/src/coordination/shared_endpoint_list.cpp
+++ b/src/coordination/shared_endpoint_list.cpp
@@ -13,7 +13,11 @@
 
 SharedEndpointList::SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
                                        std::uint64_t seed)
-    : clock_(clock), set_(settings), ports_(std::move(ports)), source_(std::move(source)), random_(seed) {}
+    : clock_(clock),
+      settings_(settings),
+      ports_(std::move(ports)),
+      source_(std::move(source)),
+      random_(seed) {}
 
 const char* SharedEndpointList::name(State s) {
   static constexpr const char* kNames[] = {"alone", "following", "reader"};
@@ -25,7 +29,7 @@
   const bool was_closed = state_ == State::following;
   state_ = s;
   behind_since_ = -1;
-  wait_ = std::uniform_int_distribution<Micros>(0, set_.spread)(random_);
+  wait_ = std::uniform_int_distribution<Micros>(0, settings_.spread)(random_);
   next_beat_ = s == State::reader ? clock_.now() : core::kNever;
   if (s == State::following) {
     ports_.watch(false);
@@ -35,7 +39,7 @@
   if (ports_.changed) ports_.changed(name(s));
 }
 
-void SharedEndpointList::observe(bool on) {
+void SharedEndpointList::subscribe(bool on) {
   observed_ = on;
   if (state_ != State::following || !on) ports_.watch(on);
 }
@@ -47,7 +51,7 @@
   l.set_text(text.data(), text.size());
   bytes_ += text.size();
   lines_.push_back(std::move(l));
-  while (!lines_.empty() && (bytes_ > set_.most_bytes || lines_.size() > kMostLines)) {
+  while (!lines_.empty() && (bytes_ > settings_.most_bytes || lines_.size() > kMostLines)) {
     bytes_ -= lines_.front().text().size();
     lines_.pop_front();
   }
@@ -66,7 +70,7 @@
     l->set_rev(rev);
     l->set_text(text.data(), text.size());
   }
-  next_beat_ = clock_.now() + set_.beat;
+  next_beat_ = clock_.now() + settings_.beat;
   ports_.publish(std::move(e));
 }
 
@@ -127,7 +131,7 @@
 void SharedEndpointList::tick() {
   const Micros now = clock_.now();
   if (state_ == State::reader && now >= next_beat_) {
-    next_beat_ = now + set_.beat;
+    next_beat_ = now + settings_.beat;
     Effect e;
     e.set_source(source_);
     e.set_rev(rev_);
@@ -139,8 +143,8 @@
 Micros SharedEndpointList::next() const {
   if (state_ == State::reader) return next_beat_;
   if (state_ == State::alone) return core::kNever;
-  const Micros silent = heard_ + set_.silence + wait_;
-  return behind_since_ < 0 ? silent : std::min(silent, behind_since_ + set_.silence + wait_);
+  const Micros silent = heard_ + settings_.silence + wait_;
+  return behind_since_ < 0 ? silent : std::min(silent, behind_since_ + settings_.silence + wait_);
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/shared_endpoint_list.h
+++ b/src/coordination/shared_endpoint_list.h
@@ -25,7 +25,7 @@
 
 using core::Micros;
 
-class SharedEndpointList final : public core::ReplicaList {
+class SharedEndpointList final : public core::EndpointList {
  public:
   struct Settings {
     Micros silence = 2 * core::kSecond;
@@ -46,7 +46,7 @@
   SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
                      std::uint64_t seed);
 
-  void observe(bool on) override;  // by the core
+  void subscribe(bool on) override;  // by the core
   // The own watch has read a line: of a list that was at `after` (0: it is whole) and now is at rev.
   void line(std::uint32_t after, std::uint32_t rev, std::string_view text);
   void holds(std::uint32_t rev) { rev_ = rev; }  // without a line: the list known at the start
@@ -64,7 +64,7 @@
   void keep(std::uint32_t after, std::uint32_t rev, std::string_view text);
 
   core::Clock& clock_;
-  Settings set_;
+  Settings settings_;
   Ports ports_;
   std::string source_;
   std::mt19937_64 random_;
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -40,8 +40,8 @@
 }
 
 Broker::Broker(BrokerSettings settings, const policy::Settings& module, std::uint64_t seed, Clock& clock,
-               ReplicaList& list)
-    : set_(settings),
+               EndpointList& list)
+    : settings_(settings),
       module_(module, seed, to_seconds(clock.now())),
       clock_(clock),
       list_(list),
@@ -69,45 +69,46 @@
   return replicas_of(Health::draining) + module_.avoided(to_seconds(clock_.now()));
 }
 
-void Broker::attach(Wire wire, Subchannels& subchannels) {
-  subchannels_[static_cast<std::size_t>(wire)] = &subchannels;
+void Broker::attach(Wire wire, ReplicaClient& subchannels) {
+  replica_clients_[static_cast<std::size_t>(wire)] = &subchannels;
 }
 
 // ---- gathering
 // ----------------------------------------------------------------------------------------------
 
-RpcId Broker::arrived(std::shared_ptr<const RpcRequest> rpc, std::shared_ptr<Channel> channel) {
+RequestId Broker::on_request(std::shared_ptr<const Request> rpc,
+                             std::shared_ptr<ResponseWriter> response_writer) {
   if (!open_ids_.insert(rpc->trace_id).second) {
-    ++count(rpc->klass).failed;  // whichever front it came by, it says so
+    ++count(rpc->request_class).failed;  // whichever front it came by, it says so
     return 0;
   }
-  const RpcId id = ++last_id_;
-  gathered_.push_back(Arrived{id, std::move(rpc), std::move(channel)});
+  const RequestId id = ++last_id_;
+  gathered_.push_back(Arrived{id, std::move(rpc), std::move(response_writer)});
   return id;
 }
-void Broker::call_rejected(CallId id) { gathered_.push_back(Rejected{id}); }
-void Broker::client_gone(RpcId id) { gathered_.push_back(Gone{id}); }
-void Broker::writable(RpcId id) { gathered_.push_back(Writable{id}); }
-void Broker::call_events(CallId id, std::string events) {
+void Broker::on_attempt_rejected(AttemptId id) { gathered_.push_back(Rejected{id}); }
+void Broker::on_client_disconnected(RequestId id) { gathered_.push_back(Gone{id}); }
+void Broker::on_client_writable(RequestId id) { gathered_.push_back(Writable{id}); }
+void Broker::on_attempt_events(AttemptId id, std::string events) {
   gathered_.push_back(Events{id, std::move(events)});
 }
-void Broker::call_ended(CallId id, Outcome outcome, std::uint32_t kept, std::vector<float> report) {
+void Broker::on_attempt_ended(AttemptId id, Outcome outcome, std::uint32_t kept, std::vector<float> report) {
   gathered_.push_back(Ended{id, outcome, kept, std::move(report)});
 }
-void Broker::warned(ReplicaId replica, Micros span) {
+void Broker::on_health_warning(ReplicaId replica, Micros span) {
   gathered_.emplace_back(std::in_place_type<Warned>, replica, span);
 }
-void Broker::list_news(ListNews news) { gathered_.push_back(std::move(news)); }
+void Broker::on_endpoint_list_update(EndpointListUpdate news) { gathered_.push_back(std::move(news)); }
 
 // ---- between processes
 // ---------------------------------------------------------------------------------------
 
-Broker::Handed Broker::hand() const {
-  Handed out;
+Broker::ProcessSnapshot Broker::snapshot() const {
+  ProcessSnapshot out;
   out.version = version_;
   for (const auto& [id, entry] : replicas_) {
     const auto word = retired_.find(id);
-    const bool fresh = word != retired_.end() && now_ < word->second.since + set_.list_lag;
+    const bool fresh = word != retired_.end() && now_ < word->second.since + settings_.list_lag;
     if (fresh) out.retired.push_back({id, word->second.since, word->second.version});
     if (fresh || entry.replica.health != Health::gone) out.entries.push_back(entry);
   }
@@ -115,22 +116,23 @@
   return out;
 }
 
-void Broker::adopt(Handed from, bool same_list) {
+void Broker::adopt(ProcessSnapshot from, bool same_list) {
   now_ = clock_.now();
   ++counters_.adopted;
   const bool ours = same_list ? from.version <= version_ : listed_;
   heard_ = listed_ = true;
-  for (const Handed::Word& word : from.retired) {
+  for (const ProcessSnapshot::RetiredReplica& word : from.retired) {
     const auto held = replicas_.find(word.replica);
     if (ours && (held == replicas_.end() || held->second.replica.health == Health::ready)) continue;
     Retired& retired = retired_.try_emplace(word.replica, Retired{word.since, word.version}).first->second;
     retired.since = std::min(retired.since, word.since);
-    for (Subchannels* s : subchannels_) {
-      if (s != nullptr && held != replicas_.end()) s->update(held->second, retired.since + set_.drain_grace);
+    for (ReplicaClient* s : replica_clients_) {
+      if (s != nullptr && held != replicas_.end())
+        s->update_endpoint(held->second, retired.since + settings_.drain_grace);
     }
   }
   if (!ours) {
-    ListNews news;
+    EndpointListUpdate news;
     news.kind = ListKind::cached;  // no watch of ours has brought it: the module still asks
     news.version = from.version;
     news.entries = std::move(from.entries);
@@ -143,8 +145,8 @@
 // ---- answers that move
 // ---------------------------------------------------------------------------------------
 
-std::vector<Broker::Running> Broker::running(Wire wire) const {
-  std::unordered_set<RpcId> busy;
+std::vector<Broker::MigratableStream> Broker::migratable_streams(Wire wire) const {
+  std::unordered_set<RequestId> busy;
   for (const Event& event : gathered_) {
     if (const auto* e = std::get_if<Events>(&event)) busy.insert(e->id.rpc);
     if (const auto* e = std::get_if<Ended>(&event)) busy.insert(e->id.rpc);
@@ -152,13 +154,13 @@
     if (const auto* e = std::get_if<Gone>(&event)) busy.insert(e->id);
     if (const auto* e = std::get_if<Writable>(&event)) busy.insert(e->id);
   }
-  std::vector<Running> out;
+  std::vector<MigratableStream> out;
   for (const auto& [id, rpc] : rpcs_) {
     if (rpc.over() || rpc.bound < 0 || rpc.held_up || rpc.request->wire != wire || busy.count(id) > 0)
       continue;
     const auto attempts_out =
-        std::count_if(rpc.calls.begin(), rpc.calls.end(), [](const Call& c) { return c.out; });
-    const Call& call = rpc.calls[static_cast<std::size_t>(rpc.bound)];
+        std::count_if(rpc.calls.begin(), rpc.calls.end(), [](const AttemptState& c) { return c.out; });
+    const AttemptState& call = rpc.calls[static_cast<std::size_t>(rpc.bound)];
     if (attempts_out != 1 || !call.out) continue;
     out.push_back({id,
                    {id, static_cast<std::uint32_t>(rpc.bound)},
@@ -166,16 +168,16 @@
                    rpc.came,
                    rpc.last_event,
                    rpc.request,
-                   rpc.channel});
+                   rpc.response_writer});
   }
   return out;
 }
 
-void Broker::moved_out(const Running& r) {
+void Broker::migrated_out(const MigratableStream& r) {
   Rpc* rpc = nullptr;
-  Call* call = find_out(r.call, rpc);
+  AttemptState* call = find_out(r.call, rpc);
   if (call == nullptr || rpc->over()) return;
-  ++counters_.moved_out;
+  ++counters_.migrated_out;
   call->out = false;
   close(*rpc);
   module_.on_gone(to_seconds(now_), r.id, *this);
@@ -189,29 +191,29 @@
   drop_if_done(r.id, *rpc);
 }
 
-RpcId Broker::moved_in(const Running& r) {
+RequestId Broker::migrated_in(const MigratableStream& r) {
   if (!open_ids_.insert(r.request->trace_id).second) return 0;
-  const RpcId id = ++last_id_;
+  const RequestId id = ++last_id_;
   Rpc& rpc = rpcs_[id];
   rpc.request = r.request;
-  rpc.channel = r.channel;
+  rpc.response_writer = r.response_writer;
   rpc.came = r.came;
   rpc.deadline = kNever;  // met: it has its first event
   rpc.last_event = r.last_event;
   rpc.bound = 0;
   rpc.calls.push_back({r.replica, r.came, true, false});
   ++open_;
-  ++counters_.moved_in;
-  wake(r.last_event + set_.stall, StallCheck{{id, 0}});
+  ++counters_.migrated_in;
+  wake(r.last_event + settings_.stall_timeout, StallCheck{{id, 0}});
   return id;
 }
 
 // ---- the turn
 // -----------------------------------------------------------------------------------------------
 
-void Broker::turn() {
+void Broker::run_iteration() {
   now_ = clock_.now();
-  ++counters_.turns;
+  ++counters_.iterations;
   // What is gathered while the turn runs (a call that fails at once, say) belongs to the next turn.
   std::deque<Event> events;
   events.swap(gathered_);
@@ -230,23 +232,23 @@
   }
   forget_ended();
   if (phase_ == Phase::draining && rpcs_.empty() && now_ >= drained_at()) phase_ = Phase::stopped;
-  counters_.longest_turn_us =
-      std::max(counters_.longest_turn_us, static_cast<std::uint64_t>(clock_.now() - now_));
+  counters_.longest_iteration_us =
+      std::max(counters_.longest_iteration_us, static_cast<std::uint64_t>(clock_.now() - now_));
 }
 
-Micros Broker::next_alarm() const {
+Micros Broker::next_timer() const {
   Micros at = alarms_.empty() ? kNever : alarms_.top().at;
   if (phase_ == Phase::draining && rpcs_.empty()) at = std::min(at, drained_at());
-  if (lingering()) at = std::min(at, drain_from_ + set_.linger);
-  if (phase_ == Phase::draining && takes()) at = std::min(at, takes_until());
+  if (accepts_new_clients()) at = std::min(at, drain_from_ + settings_.drain_accept_window);
+  if (phase_ == Phase::draining && accepts_requests()) at = std::min(at, takes_until());
   return gathered_.empty() ? at : 0;
 }
 
 void Broker::reload(Micros drain_grace, Micros answer_grace, Micros cancel_hold) {
   ++counters_.reloads;
-  set_.drain_grace = drain_grace;
-  set_.answer_grace = answer_grace;
-  set_.cancel_hold = cancel_hold;
+  settings_.drain_grace = drain_grace;
+  settings_.answer_grace = answer_grace;
+  settings_.cancel_hold = cancel_hold;
 }
 
 void Broker::drain(bool followed) {
@@ -256,43 +258,48 @@
   drain_from_ = clock_.now();
   for (const auto& [id, rpc] : rpcs_) {
     for (std::uint32_t i = 0; rpc.over() && i < rpc.calls.size(); ++i) wake(drain_from_, HoldEnd{{id, i}});
-    if (!rpc.over()) wake(drain_from_ + set_.drain_limit, Overdue{id});
+    if (!rpc.over()) wake(drain_from_ + settings_.drain_limit, Overdue{id});
   }
 }
 // Seen on a rolling restart: a process that ends resets its connections, and answers that it had just given
 // were lost on their way.
 Micros Broker::drained_at() const {
-  const Micros quiet = half_read_ > 0 ? takes_until() : drain_from_ + set_.linger;
-  return std::max(quiet, answered_) + set_.last_words;
+  const Micros quiet = half_read_ > 0 ? takes_until() : drain_from_ + settings_.drain_accept_window;
+  return std::max(quiet, answered_) + settings_.final_response_grace;
 }
-Micros Broker::takes_until() const { return drain_from_ + (followed_ ? set_.long_linger : set_.linger); }
-bool Broker::takes() const {
+Micros Broker::takes_until() const {
+  return drain_from_ +
+         (followed_ ? settings_.drain_accept_window_with_successor : settings_.drain_accept_window);
+}
+bool Broker::accepts_requests() const {
   return phase_ != Phase::stopped && (phase_ != Phase::draining || now_ < takes_until());
 }
-void Broker::expecting(std::size_t half) {
+void Broker::set_partially_read_requests(std::size_t half) {
   half_read_ = half;
   // They are refused by now, and are owed the time for that to reach them.
-  if (half > 0 && !takes()) answered_ = std::min(now_, drain_from_ + set_.drain_limit);
+  if (half > 0 && !accepts_requests()) answered_ = std::min(now_, drain_from_ + settings_.drain_limit);
+}
+bool Broker::accepts_new_clients() const {
+  return phase_ == Phase::draining && now_ < drain_from_ + settings_.drain_accept_window;
 }
-bool Broker::lingering() const { return phase_ == Phase::draining && now_ < drain_from_ + set_.linger; }
 
-std::string Broker::unready_because() const {
+std::string Broker::not_ready_reason() const {
   if (!listed_) return heard_ ? "no list yet: every ask has failed" : "no list yet";
   if (replicas_.empty()) return "the list is empty";
   return "none of " + std::to_string(replicas_.size()) + " replicas is ready";
 }
 
-Broker::Rpc* Broker::find(RpcId id) {
+Broker::Rpc* Broker::find(RequestId id) {
   const auto it = rpcs_.find(id);
   return it == rpcs_.end() ? nullptr : &it->second;
 }
-Broker::Call* Broker::find_out(CallId id, Rpc*& rpc) {
+Broker::AttemptState* Broker::find_out(AttemptId id, Rpc*& rpc) {
   rpc = find(id.rpc);
   if (rpc == nullptr || id.attempt >= rpc->calls.size() || !rpc->calls[id.attempt].out) return nullptr;
   return &rpc->calls[id.attempt];
 }
-Subchannels& Broker::subchannels(const Rpc& rpc) const {
-  return *subchannels_[static_cast<std::size_t>(rpc.request->wire)];
+ReplicaClient& Broker::replica_client(const Rpc& rpc) const {
+  return *replica_clients_[static_cast<std::size_t>(rpc.request->wire)];
 }
 
 // ---- what happened
@@ -306,30 +313,30 @@
   // The bodies of waiting RPCs are the router's largest use of memory; past the budget a new one is refused
   // on the spot, rather than the process be killed with all it holds. So is one that comes on a connection
   // kept for long into a drain: it could be open still when the process is killed, and would be lost.
-  const bool too_late = !takes();
-  if (too_late || body_bytes_ + e.request->bytes() > set_.body_budget) {
+  const bool too_late = !accepts_requests();
+  if (too_late || body_bytes_ + e.request->bytes() > settings_.body_budget) {
     ++(too_late ? counters_.unavailable : counters_.overloaded);
     return refuse_unseen(e, kSecond);
   }
-  Sharing::Word word;
-  if (sharing_ != nullptr) word = sharing_->arrived(now_, *e.request);
-  if (word.standing == Sharing::Standing::refused) {
+  SharedStatePort::QuotaDecision word;
+  if (shared_state_ != nullptr) word = shared_state_->check_quota(now_, *e.request);
+  if (word.standing == SharedStatePort::QuotaStatus::refused) {
     ++counters_.over_budget;
     return refuse_unseen(e, word.again);
   }
   Rpc& rpc = rpcs_[e.id];
   rpc.request = std::move(e.request);
-  rpc.channel = std::move(e.channel);
+  rpc.response_writer = std::move(e.response_writer);
   rpc.came = now_;
   rpc.deadline = now_ + rpc.request->patience;
   body_bytes_ += rpc.request->bytes();
   ++open_;
-  wake(rpc.deadline + set_.answer_grace, Overdue{e.id});
-  if (phase_ == Phase::draining) wake(drain_from_ + set_.drain_limit, Overdue{e.id});
-  const RpcRequest& r = *rpc.request;
+  wake(rpc.deadline + settings_.answer_grace, Overdue{e.id});
+  if (phase_ == Phase::draining) wake(drain_from_ + settings_.drain_limit, Overdue{e.id});
+  const Request& r = *rpc.request;
   policy::Query q;
   q.id = e.id;
-  q.klass = r.klass;
+  q.request_class = r.request_class;
   q.tenant = r.tenant;
   q.key = r.session;
   q.deadline = to_seconds(rpc.deadline);
@@ -340,16 +347,18 @@
   q.hint = r.work_hint;
   q.is_retry = r.is_retry;
   q.resumed = r.resumed;
-  if (word.standing != Sharing::Standing::unknown)
-    q.budget = word.standing == Sharing::Standing::over ? policy::Budget::over : policy::Budget::within;
+  if (word.standing != SharedStatePort::QuotaStatus::unknown)
+    q.budget =
+        word.standing == SharedStatePort::QuotaStatus::over ? policy::Budget::over : policy::Budget::within;
   module_.on_query(to_seconds(now_), q, *this);
 }
 
 void Broker::refuse_unseen(Arrived& e, Micros again) {
-  ++count(e.request->klass).refused;
+  ++count(e.request->request_class).refused;
   open_ids_.erase(e.request->trace_id);
-  if (sharing_ != nullptr) sharing_->answered(*e.request, Sharing::End::refused);
-  e.channel->unavailable(again, false);
+  if (shared_state_ != nullptr)
+    shared_state_->on_request_finished(*e.request, SharedStatePort::RequestOutcome::refused);
+  e.response_writer->reject(again, false);
 }
 
 void Broker::take(Warned& e) { module_.on_warning(to_seconds(now_), e.replica, to_seconds(e.span)); }
@@ -366,10 +375,10 @@
   const auto calls = static_cast<std::uint32_t>(rpc->calls.size());
   for (std::uint32_t i = 0; i < calls; ++i) {
     // Looked up each time: the last call's end drops the RPC.
-    Call* call = find_out({e.id, i}, rpc);
+    AttemptState* call = find_out({e.id, i}, rpc);
     if (call != nullptr)
-      set_.cancel_hold > 0 ? hold({e.id, i}, *rpc, *call)
-                           : cancel_call({e.id, i}, *rpc, *call, Outcome::cancelled);
+      settings_.cancel_hold > 0 ? hold({e.id, i}, *rpc, *call)
+                                : cancel_call({e.id, i}, *rpc, *call, Outcome::cancelled);
   }
   if ((rpc = find(e.id)) != nullptr) drop_if_done(e.id, *rpc);
 }
@@ -378,7 +387,7 @@
 // would sink under bad clients otherwise, and no other replica is asked.
 void Broker::take(Rejected& e) {
   Rpc* rpc = nullptr;
-  Call* call = find_out(e.id, rpc);
+  AttemptState* call = find_out(e.id, rpc);
   if (call == nullptr) return;
   if (!rpc->over() && rpc->bound < 0) {
     ++counters_.failed;
@@ -394,12 +403,13 @@
   if (rpc == nullptr || rpc->over() || !rpc->held_up) return;
   rpc->held_up = false;
   rpc->last_event = now_;
-  if (rpc->bound >= 0) subchannels(*rpc).pause({e.id, static_cast<std::uint32_t>(rpc->bound)}, false);
+  if (rpc->bound >= 0)
+    replica_client(*rpc).pause_attempt({e.id, static_cast<std::uint32_t>(rpc->bound)}, false);
 }
 
 void Broker::take(Events& e) {
   Rpc* rpc = nullptr;
-  Call* call = find_out(e.id, rpc);
+  AttemptState* call = find_out(e.id, rpc);
   if (call == nullptr || call->stopped) return;
   if (rpc->over() || (rpc->bound >= 0 && rpc->bound != static_cast<int>(e.id.attempt))) {
     // Another attempt's stream was first, or the RPC is over: this one is of no use to anybody.
@@ -407,19 +417,19 @@
   }
   if (rpc->bound < 0) {
     bind(e.id, *rpc, *call);
-    wake(now_ + set_.stall, StallCheck{e.id});
+    wake(now_ + settings_.stall_timeout, StallCheck{e.id});
   }
   rpc->last_event = now_;
-  if (!rpc->channel->pass(e.bytes) && !rpc->held_up) {
+  if (!rpc->response_writer->write_events(e.bytes) && !rpc->held_up) {
     rpc->held_up = true;
     ++counters_.slow_clients;
-    subchannels(*rpc).pause(e.id, true);
+    replica_client(*rpc).pause_attempt(e.id, true);
   }
 }
 
 void Broker::take(Ended& e) {
   Rpc* rpc = nullptr;
-  Call* call = find_out(e.id, rpc);
+  AttemptState* call = find_out(e.id, rpc);
   if (call == nullptr) return;
   if (e.outcome == Outcome::ok && rpc->bound < 0 && !rpc->over() && !call->stopped &&
       rpc->request->may_be_empty)
@@ -427,11 +437,11 @@
   end_call(e.id, *rpc, *call, e.outcome, e.kept, std::move(e.report));
 }
 
-void Broker::take(ListNews& e) {
+void Broker::take(EndpointListUpdate& e) {
   if (e.kind == ListKind::failed) {
     ++counters_.list_failures;
   } else {
-    ++counters_.list_news;
+    ++counters_.on_endpoint_list_update;
   }
   static constexpr std::array<const char*, 4> kKinds = {"changes", "known", "whole", "failed"};
   if (trace_)
@@ -456,7 +466,7 @@
   std::erase_if(e.entries, [&](const Endpoint& entry) {
     const Retired* retired = overtaken_by(entry, e);
     if (retired == nullptr) return false;
-    wake(retired->since + set_.list_lag, Untold{entry, e.version, retired->since});
+    wake(retired->since + settings_.list_lag, Untold{entry, e.version, retired->since});
     return true;
   });
   for (const Endpoint& entry : e.entries) {
@@ -470,9 +480,10 @@
       retired.version = std::max(retired.version, e.version);  // the time is that of the first word
     }
     const auto retired = retired_.find(id);
-    for (Subchannels* s : subchannels_) {
+    for (ReplicaClient* s : replica_clients_) {
       if (s != nullptr)
-        s->update(entry, retired == retired_.end() ? kNever : retired->second.since + set_.drain_grace);
+        s->update_endpoint(
+            entry, retired == retired_.end() ? kNever : retired->second.since + settings_.drain_grace);
     }
   }
   serve_if_ready();
@@ -485,13 +496,13 @@
 
 // Discovery that has moved may tell a whole list that is older than the word of a drain: believed, it would
 // send new work to a replica that was told to drain. A replica that has started anew is another matter.
-const Broker::Retired* Broker::overtaken_by(const Endpoint& entry, const ListNews& news) const {
+const Broker::Retired* Broker::overtaken_by(const Endpoint& entry, const EndpointListUpdate& news) const {
   const auto it = retired_.find(entry.replica.id);
   const auto held = replicas_.find(entry.replica.id);
   if (it == retired_.end() || held == replicas_.end() || entry.replica.health != Health::ready)
     return nullptr;
   const Retired& retired = it->second;
-  const bool overtaken = news.version < retired.version && now_ < retired.since + set_.list_lag &&
+  const bool overtaken = news.version < retired.version && now_ < retired.since + settings_.list_lag &&
                          entry.replica.born <= held->second.replica.born;
   return overtaken ? &retired : nullptr;
 }
@@ -504,30 +515,31 @@
 void Broker::ring(const Alarm& alarm) {
   if (const auto* m = std::get_if<ModuleAlarm>(&alarm.what)) {
     module_.on_wake(to_seconds(now_), m->cookie, *this);
-  } else if (const auto* c = std::get_if<CallExpiry>(&alarm.what)) {
+  } else if (const auto* c = std::get_if<AttemptExpiry>(&alarm.what)) {
     Rpc* rpc = nullptr;
-    Call* call = find_out(c->id, rpc);
+    AttemptState* call = find_out(c->id, rpc);
     // A stream that the client already reads has no time-out any more.
     if (call == nullptr || call->stopped || rpc->bound == static_cast<int>(c->id.attempt)) return;
     cancel_call(c->id, *rpc, *call, Outcome::timeout);
   } else if (const auto* s = std::get_if<StallCheck>(&alarm.what)) {
     Rpc* rpc = nullptr;
-    Call* call = find_out(s->id, rpc);
+    AttemptState* call = find_out(s->id, rpc);
     if (call == nullptr || rpc->over()) return;
     const Micros quiet = rpc->held_up ? 0 : now_ - rpc->last_event;
-    if (quiet < set_.stall) return wake(now_ + set_.stall - quiet, StallCheck{s->id});
+    if (quiet < settings_.stall_timeout)
+      return wake(now_ + settings_.stall_timeout - quiet, StallCheck{s->id});
     // A machine that vanished in the middle of an answer says nothing, and TCP does not notice. The client is
     // better off with a broken stream, whose rest it can ask for, than with a silent one.
     ++counters_.stalled;
     cancel_call(s->id, *rpc, *call, Outcome::reset);
   } else if (const auto* h = std::get_if<HoldEnd>(&alarm.what)) {
     Rpc* rpc = nullptr;
-    Call* call = find_out(h->id, rpc);
+    AttemptState* call = find_out(h->id, rpc);
     if (call != nullptr && call->held) end_call(h->id, *rpc, *call, Outcome::cancelled);
   } else if (const auto* u = std::get_if<Untold>(&alarm.what)) {
     const auto retired = retired_.find(u->entry.replica.id);
     if (retired == retired_.end() || retired->second.since != u->since) return;
-    ListNews news;
+    EndpointListUpdate news;
     news.kind = ListKind::delta;
     news.version = u->version;
     news.entries.push_back(u->entry);
@@ -539,7 +551,7 @@
 
 // The module owes every RPC an answer by its deadline. Should it not have given one, the client gets it from
 // here, and the module is told that the RPC is over. In a drain, the process may be killed before that.
-void Broker::give_up(RpcId id) {
+void Broker::give_up(RequestId id) {
   Rpc* rpc = find(id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
   ++counters_.overdue;
@@ -553,75 +565,77 @@
 // ---- calls
 // --------------------------------------------------------------------------------------------------
 
-std::shared_ptr<Channel> Broker::close(Rpc& rpc) {
+std::shared_ptr<ResponseWriter> Broker::close(Rpc& rpc) {
   --open_;
   answered_ = now_;
   open_ids_.erase(rpc.request->trace_id);
-  return std::exchange(rpc.channel, nullptr);
-}
-std::shared_ptr<Channel> Broker::close(Rpc& rpc, std::uint64_t Answers::*as) {
-  ++(count(rpc.request->klass).*as);
-  if (sharing_ != nullptr)
-    sharing_->answered(*rpc.request, as == &Answers::served    ? Sharing::End::served
-                                     : as == &Answers::refused ? Sharing::End::refused
-                                                               : Sharing::End::failed);
+  return std::exchange(rpc.response_writer, nullptr);
+}
+std::shared_ptr<ResponseWriter> Broker::close(Rpc& rpc, std::uint64_t Answers::*as) {
+  ++(count(rpc.request->request_class).*as);
+  if (shared_state_ != nullptr)
+    shared_state_->on_request_finished(*rpc.request,
+                                       as == &Answers::served    ? SharedStatePort::RequestOutcome::served
+                                       : as == &Answers::refused ? SharedStatePort::RequestOutcome::refused
+                                                                 : SharedStatePort::RequestOutcome::failed);
   return close(rpc);
 }
 
-void Broker::drop_if_done(RpcId id, const Rpc& rpc) {
+void Broker::drop_if_done(RequestId id, const Rpc& rpc) {
   if (!rpc.over()) return;
-  if (std::any_of(rpc.calls.begin(), rpc.calls.end(), [](const Call& c) { return c.out; })) return;
+  if (std::any_of(rpc.calls.begin(), rpc.calls.end(), [](const AttemptState& c) { return c.out; })) return;
   ended_.push_back(id);
 }
 
 // The module may have asked for an attempt in the very turn in which the RPC ended, its client gone, say.
 // That attempt is never sent, but the module is owed its outcome: until it has that, the RPC stays.
 void Broker::forget_ended() {
-  for (const RpcId id : std::exchange(ended_, {})) {
+  for (const RequestId id : std::exchange(ended_, {})) {
     const auto it = rpcs_.find(id);
     if (it == rpcs_.end()) continue;
     const Rpc& rpc = it->second;
-    if (std::any_of(rpc.calls.begin(), rpc.calls.end(), [](const Call& c) { return c.out; })) continue;
+    if (std::any_of(rpc.calls.begin(), rpc.calls.end(), [](const AttemptState& c) { return c.out; }))
+      continue;
     body_bytes_ -= rpc.request->bytes();
     rpcs_.erase(it);
   }
 }
 
 // The client gets this attempt's answer, and no other's.
-void Broker::bind(CallId id, Rpc& rpc, const Call& call) {
+void Broker::bind(AttemptId id, Rpc& rpc, const AttemptState& call) {
   rpc.bound = static_cast<int>(id.attempt);
   policy::Accepted a;
   a.id = id.rpc;
   a.attempt = id.attempt;
   a.worker = call.replica;
   a.latency = to_seconds(now_ - call.sent);
-  if (sharing_ != nullptr) sharing_->first_event(now_, call.replica);
+  if (shared_state_ != nullptr) shared_state_->on_first_event(now_, call.replica);
   if (trace_) trace_({Trace::What::bound, id.rpc, id.attempt, call.replica, "", now_ - call.sent});
   module_.on_accepted(to_seconds(now_), a, *this);
 }
 
 // Its client is gone, and a replica may well work on: engines often finish what they have begun. The call is
 // given up now; that its place is free the module learns after the hold, or at once in a drain.
-void Broker::hold(CallId id, Rpc& rpc, Call& call) {
-  subchannels(rpc).cancel(id);
+void Broker::hold(AttemptId id, Rpc& rpc, AttemptState& call) {
+  replica_client(rpc).cancel_attempt(id);
   call.stopped = call.held = true;
   ++counters_.held;
   if (!rpc.request->body.empty()) {
-    const auto bare = std::make_shared<RpcRequest>();
+    const auto bare = std::make_shared<Request>();
     bare->wire = rpc.request->wire;
     body_bytes_ -= rpc.request->bytes();
     rpc.request = bare;
   }
-  wake(now_ + (phase_ == Phase::draining ? 0 : set_.cancel_hold), HoldEnd{id});
+  wake(now_ + (phase_ == Phase::draining ? 0 : settings_.cancel_hold), HoldEnd{id});
 }
 
-void Broker::cancel_call(CallId id, Rpc& rpc, Call& call, Outcome outcome) {
-  subchannels(rpc).cancel(id);
+void Broker::cancel_call(AttemptId id, Rpc& rpc, AttemptState& call, Outcome outcome) {
+  replica_client(rpc).cancel_attempt(id);
   end_call(id, rpc, call, outcome);
 }
 
 // Every attempt gets one outcome, whatever became of its RPC.
-void Broker::end_call(CallId id, Rpc& rpc, Call& call, Outcome outcome, std::uint32_t kept,
+void Broker::end_call(AttemptId id, Rpc& rpc, AttemptState& call, Outcome outcome, std::uint32_t kept,
                       std::vector<float> report) {
   call.out = false;
   const bool bound = rpc.bound == static_cast<int>(id.attempt);
@@ -629,7 +643,7 @@
   if (outcome == Outcome::ok && !bound) outcome = Outcome::cancelled;
   const std::size_t which = static_cast<std::size_t>(outcome) % counters_.outcomes.size();
   ++counters_.outcomes[which];
-  if (sharing_ != nullptr) sharing_->call_ended(now_, call.replica, outcome);
+  if (shared_state_ != nullptr) shared_state_->on_attempt_ended(now_, call.replica, outcome);
   if (trace_)
     trace_({Trace::What::ended, id.rpc, id.attempt, call.replica, kOutcomes[which], now_ - call.sent, 0, kept,
             replicas_[call.replica].replica.kind, replicas_[call.replica].replica.zone});
@@ -638,7 +652,7 @@
     close(rpc, &Answers::served)->finish();
   } else if (!rpc.over() && bound) {
     ++counters_.broken;
-    close(rpc, &Answers::failed)->break_off();
+    close(rpc, &Answers::failed)->abort_stream();
   }
   policy::Response r;
   r.id = id.rpc;
@@ -656,30 +670,32 @@
 // ---- the module's actions
 // -----------------------------------------------------------------------------------
 
-void Broker::attempt(RpcId id, ReplicaId worker, double allow_for) {
+void Broker::attempt(RequestId id, ReplicaId worker, double allow_for) {
   actions_.push_back(Attempt{id, worker, allow_for});
 }
-void Broker::busy(RpcId id, double not_before_for) { actions_.push_back(Busy{id, not_before_for}); }
-void Broker::fail(RpcId id) { actions_.push_back(Fail{id}); }
-void Broker::stop_attempt(RpcId id, std::uint16_t attempt) { actions_.push_back(StopAttempt{{id, attempt}}); }
-void Broker::set_alarm(double span, std::uint64_t cookie) { actions_.push_back(SetAlarm{span, cookie}); }
-void Broker::observe(bool on) { actions_.push_back(Observe{on}); }
+void Broker::busy(RequestId id, double not_before_for) { actions_.push_back(Busy{id, not_before_for}); }
+void Broker::fail(RequestId id) { actions_.push_back(Fail{id}); }
+void Broker::stop_attempt(RequestId id, std::uint16_t attempt) {
+  actions_.push_back(StopAttempt{{id, attempt}});
+}
+void Broker::set_timer(double span, std::uint64_t cookie) { actions_.push_back(SetTimer{span, cookie}); }
+void Broker::subscribe(bool on) { actions_.push_back(Subscribe{on}); }
 
 void Broker::carry_out(const Attempt& a) {
   Rpc* rpc = find(a.id);
   if (rpc == nullptr) return;
-  const CallId id{a.id, static_cast<std::uint32_t>(rpc->calls.size())};
+  const AttemptId id{a.id, static_cast<std::uint32_t>(rpc->calls.size())};
   rpc->calls.push_back({a.replica, now_, true, false});
   if (rpc->over() || rpc->bound >= 0 || now_ >= rpc->deadline) {
-    return call_ended(id, Outcome::moot);  // never sent; the module learns it in the next turn
+    return on_attempt_ended(id, Outcome::moot);  // never sent; the module learns it in the next turn
   }
   ++counters_.calls;
   if (id.attempt > 0) ++counters_.second_calls;
   if (trace_) trace_({Trace::What::call, a.id, id.attempt, a.replica, "", now_ - rpc->came});
   const Micros left = rpc->deadline - now_;
   const Micros allowed = a.allow_for == 0.0 ? left : std::min(left, to_micros(a.allow_for));
-  wake(now_ + allowed + (allowed == left ? kExpirySlack : 0), CallExpiry{id});
-  subchannels(*rpc).call(id, a.replica, rpc->request, allowed);
+  wake(now_ + allowed + (allowed == left ? kExpirySlack : 0), AttemptExpiry{id});
+  replica_client(*rpc).start_attempt(id, a.replica, rpc->request, allowed);
 }
 
 void Broker::carry_out(const Busy& a) {
@@ -687,7 +703,7 @@
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
   ++counters_.unavailable;
   if (trace_) trace_({Trace::What::unavailable, a.id, 0, 0, "", now_ - rpc->came});
-  close(*rpc, &Answers::refused)->unavailable(to_micros(a.not_before_for), now_ >= rpc->deadline);
+  close(*rpc, &Answers::refused)->reject(to_micros(a.not_before_for), now_ >= rpc->deadline);
   drop_if_done(a.id, *rpc);
 }
 
@@ -702,16 +718,16 @@
 
 void Broker::carry_out(const StopAttempt& a) {
   Rpc* rpc = nullptr;
-  Call* call = find_out(a.id, rpc);
+  AttemptState* call = find_out(a.id, rpc);
   if (call == nullptr || call->held || rpc->bound == static_cast<int>(a.id.attempt)) return;
   call->stopped = true;
   // The connection goes now; the outcome is told in the next turn, since the module is not to be called
   // while its actions are carried out.
-  subchannels(*rpc).cancel(a.id);
-  call_ended(a.id, Outcome::cancelled);
+  replica_client(*rpc).cancel_attempt(a.id);
+  on_attempt_ended(a.id, Outcome::cancelled);
 }
 
-void Broker::carry_out(const SetAlarm& a) { wake(now_ + to_micros(a.span), ModuleAlarm{a.cookie}); }
-void Broker::carry_out(const Observe& a) { list_.observe(a.on); }
+void Broker::carry_out(const SetTimer& a) { wake(now_ + to_micros(a.span), ModuleAlarm{a.cookie}); }
+void Broker::carry_out(const Subscribe& a) { list_.subscribe(a.on); }
 
 }  // namespace flintglade::core
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -33,110 +33,112 @@
   Micros drain_grace = 2 * kSecond;     // after a replica is known to drain or be gone; of it, write_grace()
   Micros answer_grace = 20 * kMilli;    // after the deadline, for the final answer
   std::size_t body_budget = 48u << 20;  // bytes of request bodies held at once
-  Micros stall = 2 * kSecond;           // a stream without an event for this long has broken
+  Micros stall_timeout = 2 * kSecond;   // a stream without an event for this long has broken
   Micros list_lag = 10 * kSecond;       // no list is older than this; discovery's own lag is under 6 s
   // How long a draining router goes on taking new RPCs. What comes 0.7 s after SIGTERM may be open still at
   // SIGKILL, and SIGTERM may be seen late by a hold-up.
-  Micros linger = 700 * kMilli - kHoldUp - 50 * kMilli;
-  Micros long_linger = 2400 * kMilli;  // the same where answers can go on in another process
-  Micros drain_limit = 3400 * kMilli;  // and by when what it took has its first event or an answer
-  Micros last_words = 300 * kMilli;    // from its last answer to its end, for it to reach its client
-  Micros cancel_hold = 0;              // how long a call that its client gave up counts as its replica's work
+  Micros drain_accept_window = 700 * kMilli - kHoldUp - 50 * kMilli;
+  Micros drain_accept_window_with_successor =
+      2400 * kMilli;                           // the same where answers can go on in another process
+  Micros drain_limit = 3400 * kMilli;          // and by when what it took has its first event or an answer
+  Micros final_response_grace = 300 * kMilli;  // from its last answer to its end, for it to reach its client
+  Micros cancel_hold = 0;  // how long a call that its client gave up counts as its replica's work
 };
 
 class Broker final : private policy::ActionSink {
  public:
   Broker(BrokerSettings settings, const policy::Settings& module, std::uint64_t seed, Clock& clock,
-         ReplicaList& list);
+         EndpointList& list);
   ~Broker() override;
 
-  void attach(Wire wire, Subchannels& subchannels);
+  void attach(Wire wire, ReplicaClient& subchannels);
 
   // ---- gathered events: kept until the next turn ----
   // 0, and nothing is taken, if an open RPC has the same trace id: at the replicas the two would pass for
   // one.
-  RpcId arrived(std::shared_ptr<const RpcRequest> rpc, std::shared_ptr<Channel> channel);
+  RequestId on_request(std::shared_ptr<const Request> rpc, std::shared_ptr<ResponseWriter> response_writer);
   // A front had no room for an RPC of this class, and has refused it.
-  void turned_away(std::uint32_t klass) {
+  void on_request_shed(std::uint32_t request_class) {
     ++counters_.overloaded;
-    count(klass).refused++;
+    count(request_class).refused++;
   }
-  void client_gone(RpcId id);
-  void writable(RpcId id);
-  void call_events(CallId id, std::string events);  // whole events; the first ones bind the attempt
-  void call_ended(CallId id, policy::Outcome outcome, std::uint32_t kept = 0, std::vector<float> report = {});
-  void call_rejected(CallId id);                // the replica cannot use the request, nor could another
-  void call_written() { ++counters_.written; }  // the last byte of an attempt is written; once each
-  void list_news(ListNews news);
+  void on_client_disconnected(RequestId id);
+  void on_client_writable(RequestId id);
+  void on_attempt_events(AttemptId id, std::string events);  // whole events; the first ones bind the attempt
+  void on_attempt_ended(AttemptId id, policy::Outcome outcome, std::uint32_t kept = 0,
+                        std::vector<float> report = {});
+  void on_attempt_rejected(AttemptId id);             // the replica cannot use the request, nor could another
+  void on_attempt_written() { ++counters_.written; }  // the last byte of an attempt is written; once each
+  void on_endpoint_list_update(EndpointListUpdate news);
 
   // ---- between processes of one router ----
   // What the process that goes knows, for the one that takes its place. Times are on the clock of both.
-  struct Handed {
+  struct ProcessSnapshot {
     std::uint32_t version = 0;  // of the list
     std::vector<Endpoint> entries;
-    struct Word {
+    struct RetiredReplica {
       ReplicaId replica = 0;
       Micros since = 0;
       std::uint32_t version = 0;
     };
-    std::vector<Word> retired;  // since when it was known to drain or be gone
+    std::vector<RetiredReplica> retired;  // since when it was known to drain or be gone
     policy::LearnedState learned;
   };
-  Handed hand() const;
+  ProcessSnapshot snapshot() const;
   // same_list: versions of its list can be compared with those of ours. A list of ours that is as new stays
   // in force, and the times of drains go back to the first word that either heard.
-  void adopt(Handed from, bool same_list);
+  void adopt(ProcessSnapshot from, bool same_list);
 
   // Answers that move.
   // An answer in its middle: its first event is passed on, and its one attempt runs.
-  struct Running {
-    RpcId id = 0;
-    CallId call;
+  struct MigratableStream {
+    RequestId id = 0;
+    AttemptId call;
     ReplicaId replica = 0;
     Micros came = 0, last_event = 0;
-    std::shared_ptr<const RpcRequest> request;
-    std::shared_ptr<Channel> channel;
+    std::shared_ptr<const Request> request;
+    std::shared_ptr<ResponseWriter> response_writer;
   };
   // Those of this wire of which nothing is gathered that the next turn has still to do.
-  std::vector<Running> running(Wire wire) const;
+  std::vector<MigratableStream> migratable_streams(Wire wire) const;
   // Another process has it: it is nobody's here any more, and no final answer is counted.
-  void moved_out(const Running& r);
+  void migrated_out(const MigratableStream& r);
   // Taken from another process; r.id, r.call and the replica's events are the caller's to use if the id given
   // is not 0. 0, and nothing is taken, where this process has an open RPC of the same trace id.
-  RpcId moved_in(const Running& r);
+  RequestId migrated_in(const MigratableStream& r);
 
   // ---- the loop ----
-  void turn();                // hand what was gathered to the module, then carry out its actions
-  Micros next_alarm() const;  // when the next turn is due even if nothing happens
+  void run_iteration();       // hand what was gathered to the module, then carry out its actions
+  Micros next_timer() const;  // when the next turn is due even if nothing happens
   bool has_work() const { return !gathered_.empty(); }
 
   // ---- phases ----
   Phase phase() const { return phase_; }
   bool ready() const { return phase_ == Phase::serving; }
-  std::string unready_because() const;  // in a few words, while the phase is starting
+  std::string not_ready_reason() const;  // in a few words, while the phase is starting
   void reload(Micros drain_grace, Micros answer_grace,
               Micros cancel_hold = 0);  // for what happens from now on
   void reload_refused() { ++counters_.reloads_refused; }
   // SIGTERM: finish what is here, and what still comes, then stop. followed: another process serves, and
   // answers move there once they have begun; so requests that are half read by now can be waited for.
   void drain(bool followed = false);
-  bool lingering() const;            // draining, and clients may still come
-  bool takes() const;                // RPCs that come now, where there is memory for them
-  void expecting(std::size_t half);  // clients in the middle of a request, while draining
-  std::size_t open_rpcs() const { return open_; }
+  bool accepts_new_clients() const;                    // draining, and clients may still come
+  bool accepts_requests() const;                       // RPCs that come now, where there is memory for them
+  void set_partially_read_requests(std::size_t half);  // clients in the middle of a request, while draining
+  std::size_t requests_in_flight() const { return open_; }
   std::size_t body_bytes() const { return body_bytes_; }
-  void body_budget(std::size_t bytes) { set_.body_budget = bytes; }  // for what comes from now on
-  std::size_t listed_replicas() const;                               // not gone, by the list held
+  void body_budget(std::size_t bytes) { settings_.body_budget = bytes; }  // for what comes from now on
+  std::size_t listed_replicas() const;                                    // not gone, by the list held
   std::size_t avoided_replicas() const;  // of them, those that the module now avoids, or that drain
   const Counters& counters() const { return counters_; }
   void trace(std::function<void(const Trace&)> to) { trace_ = std::move(to); }
-  void share(Sharing* with) { sharing_ = with; }  // borrowed; null: each router for itself
+  void share(SharedStatePort* with) { shared_state_ = with; }  // borrowed; null: each router for itself
   // Other routers have seen this replica fail: it is passed over for so long, as if a connect had failed.
-  void warned(ReplicaId replica, Micros span);
+  void on_health_warning(ReplicaId replica, Micros span);
   std::vector<ReplicaId> ready_replicas() const;  // by the list held
 
  private:
-  struct Call {
+  struct AttemptState {
     ReplicaId replica = 0;
     Micros sent = 0;
     bool out = true;
@@ -144,37 +146,37 @@
     bool held = false;     // and that comes after the hold
   };
   struct Rpc {
-    std::shared_ptr<const RpcRequest> request;
-    std::shared_ptr<Channel> channel;  // empty once the final answer is given
+    std::shared_ptr<const Request> request;
+    std::shared_ptr<ResponseWriter> response_writer;  // empty once the final answer is given
     Micros came = 0;
     Micros deadline = 0;
-    std::vector<Call> calls;
+    std::vector<AttemptState> calls;
     int bound = -1;  // the attempt whose stream the client gets
     Micros last_event = 0;
     bool held_up = false;
-    bool over() const { return channel == nullptr; }
+    bool over() const { return response_writer == nullptr; }
   };
 
   struct Arrived {
-    RpcId id;
-    std::shared_ptr<const RpcRequest> request;
-    std::shared_ptr<Channel> channel;
+    RequestId id;
+    std::shared_ptr<const Request> request;
+    std::shared_ptr<ResponseWriter> response_writer;
   };
   struct Gone {
-    RpcId id;
+    RequestId id;
   };
   struct Rejected {
-    CallId id;
+    AttemptId id;
   };
   struct Writable {
-    RpcId id;
+    RequestId id;
   };
   struct Events {
-    CallId id;
+    AttemptId id;
     std::string bytes;
   };
   struct Ended {
-    CallId id;
+    AttemptId id;
     policy::Outcome outcome;
     std::uint32_t kept;
     std::vector<float> report;
@@ -183,57 +185,57 @@
     ReplicaId replica;
     Micros span;
   };
-  using Event = std::variant<Arrived, Gone, Rejected, Writable, Events, Ended, ListNews, Warned>;
+  using Event = std::variant<Arrived, Gone, Rejected, Writable, Events, Ended, EndpointListUpdate, Warned>;
 
   struct Retired {
     Micros since = 0;
     std::uint32_t version = 0;  // of the list that told it
   };
   struct Attempt {
-    RpcId id;
+    RequestId id;
     ReplicaId replica;
     double allow_for;
   };
   struct Busy {
-    RpcId id;
+    RequestId id;
     double not_before_for;
   };
   struct Fail {
-    RpcId id;
+    RequestId id;
   };
   struct StopAttempt {
-    CallId id;
+    AttemptId id;
   };
-  struct SetAlarm {
+  struct SetTimer {
     double span;
     std::uint64_t cookie;
   };
-  struct Observe {
+  struct Subscribe {
     bool on;
   };
-  using Action = std::variant<Attempt, Busy, Fail, StopAttempt, SetAlarm, Observe>;
+  using Action = std::variant<Attempt, Busy, Fail, StopAttempt, SetTimer, Subscribe>;
 
   struct ModuleAlarm {
     std::uint64_t cookie;
   };
-  struct CallExpiry {
-    CallId id;
+  struct AttemptExpiry {
+    AttemptId id;
   };
   struct Overdue {  // at the deadline, or where a drain may take no longer
-    RpcId id;
+    RequestId id;
   };
   struct StallCheck {
-    CallId id;
+    AttemptId id;
   };
   struct HoldEnd {
-    CallId id;
+    AttemptId id;
   };
   struct Untold {  // what an older list said of a replica is believed after all
     Endpoint entry;
     std::uint32_t version;
     Micros since;  // the word that it does not take back
   };
-  using What = std::variant<ModuleAlarm, CallExpiry, Overdue, StallCheck, HoldEnd, Untold>;
+  using What = std::variant<ModuleAlarm, AttemptExpiry, Overdue, StallCheck, HoldEnd, Untold>;
   struct Alarm {
     Micros at = 0;
     std::uint64_t order = 0;  // equal times ring in the order they were set
@@ -242,12 +244,12 @@
   };
 
   // ActionSink: only collects; carry_out does the work once the module has seen the whole turn.
-  void attempt(RpcId id, ReplicaId worker, double allow_for) override;
-  void busy(RpcId id, double not_before_for) override;
-  void fail(RpcId id) override;
-  void stop_attempt(RpcId id, std::uint16_t attempt) override;
-  void set_alarm(double span, std::uint64_t cookie) override;
-  void observe(bool on) override;
+  void attempt(RequestId id, ReplicaId worker, double allow_for) override;
+  void busy(RequestId id, double not_before_for) override;
+  void fail(RequestId id) override;
+  void stop_attempt(RequestId id, std::uint16_t attempt) override;
+  void set_timer(double span, std::uint64_t cookie) override;
+  void subscribe(bool on) override;
 
   void take(Arrived& e);
   void take(Gone& e);
@@ -255,47 +257,48 @@
   void take(Writable& e);
   void take(Events& e);
   void take(Ended& e);
-  void take(ListNews& e);
+  void take(EndpointListUpdate& e);
   void take(Warned& e);
 
   void carry_out(const Attempt& a);
   void carry_out(const Busy& a);
   void carry_out(const Fail& a);
   void carry_out(const StopAttempt& a);
-  void carry_out(const SetAlarm& a);
-  void carry_out(const Observe& a);
+  void carry_out(const SetTimer& a);
+  void carry_out(const Subscribe& a);
 
   void ring(const Alarm& alarm);
   void wake(Micros at, What what);
-  void give_up(RpcId id);
+  void give_up(RequestId id);
   void serve_if_ready();
-  const Retired* overtaken_by(const Endpoint& entry, const ListNews& news) const;  // null: by no word
+  const Retired* overtaken_by(const Endpoint& entry,
+                              const EndpointListUpdate& news) const;  // null: by no word
   Micros drained_at() const;
   Micros takes_until() const;  // in a drain
   std::size_t replicas_of(policy::Health health) const;
-  Rpc* find(RpcId id);
-  Call* find_out(CallId id, Rpc*& rpc);
-  Subchannels& subchannels(const Rpc& rpc) const;
-  void end_call(CallId id, Rpc& rpc, Call& call, policy::Outcome outcome, std::uint32_t kept = 0,
+  Rpc* find(RequestId id);
+  AttemptState* find_out(AttemptId id, Rpc*& rpc);
+  ReplicaClient& replica_client(const Rpc& rpc) const;
+  void end_call(AttemptId id, Rpc& rpc, AttemptState& call, policy::Outcome outcome, std::uint32_t kept = 0,
                 std::vector<float> report = {});
-  void bind(CallId id, Rpc& rpc, const Call& call);
-  void hold(CallId id, Rpc& rpc, Call& call);
-  void cancel_call(CallId id, Rpc& rpc, Call& call, policy::Outcome outcome);
-  std::shared_ptr<Channel> close(Rpc& rpc);  // takes the channel; the RPC is over
+  void bind(AttemptId id, Rpc& rpc, const AttemptState& call);
+  void hold(AttemptId id, Rpc& rpc, AttemptState& call);
+  void cancel_call(AttemptId id, Rpc& rpc, AttemptState& call, policy::Outcome outcome);
+  std::shared_ptr<ResponseWriter> close(Rpc& rpc);  // takes the channel; the RPC is over
   // The same for the one final answer, which is counted here and nowhere else.
-  std::shared_ptr<Channel> close(Rpc& rpc, std::uint64_t Answers::*as);
+  std::shared_ptr<ResponseWriter> close(Rpc& rpc, std::uint64_t Answers::*as);
   void refuse_unseen(Arrived& e, Micros again);  // the module never hears of it
-  Answers& count(std::uint32_t klass) {
-    return counters_.answers[std::min<std::size_t>(klass, counters_.answers.size() - 1)];
+  Answers& count(std::uint32_t request_class) {
+    return counters_.answers[std::min<std::size_t>(request_class, counters_.answers.size() - 1)];
   }
-  void drop_if_done(RpcId id, const Rpc& rpc);
+  void drop_if_done(RequestId id, const Rpc& rpc);
   void forget_ended();
 
-  BrokerSettings set_;
+  BrokerSettings settings_;
   policy::Balancer module_;
   Clock& clock_;
-  ReplicaList& list_;
-  std::array<Subchannels*, kWires> subchannels_{};
+  EndpointList& list_;
+  std::array<ReplicaClient*, kWires> replica_clients_{};
   Micros now_ = 0;
   Phase phase_ = Phase::starting;
   Micros drain_from_ = kNever;
@@ -306,12 +309,12 @@
   bool heard_ = false;                              // the list has answered, or failed to
   bool listed_ = false;                             // the list has answered
   std::uint32_t version_ = 0;                       // of the list held
-  RpcId last_id_ = 0;
+  RequestId last_id_ = 0;
   std::size_t open_ = 0;  // RPCs without a final answer
   Micros answered_ = 0;   // when the last final answer was given
   std::size_t body_bytes_ = 0;
-  std::unordered_map<RpcId, Rpc> rpcs_;
-  std::vector<RpcId> ended_;  // over, with no call out: they go once this turn's actions are carried out
+  std::unordered_map<RequestId, Rpc> rpcs_;
+  std::vector<RequestId> ended_;  // over, with no call out: they go once this turn's actions are carried out
   std::unordered_set<std::string> open_ids_;  // trace ids of the RPCs without a final answer
   std::deque<Event> gathered_;                // grows without moving what it holds
   std::vector<Action> actions_;
@@ -319,7 +322,7 @@
   std::uint64_t alarms_set_ = 0;
   Counters counters_;
   std::function<void(const Trace&)> trace_;
-  Sharing* sharing_ = nullptr;
+  SharedStatePort* shared_state_ = nullptr;
 };
 
 }  // namespace flintglade::core
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -19,20 +19,20 @@
   add("overdue", overdue);
   add("gone", gone);
   add("held", held);
-  add("moved_out", moved_out);
-  add("moved_in", moved_in);
+  add("moved_out", migrated_out);
+  add("moved_in", migrated_in);
   add("adopted", adopted);
   add("calls", calls);
   add("written", written);
   add("second_calls", second_calls);
   for (std::size_t i = 0; i < kOutcomes.size(); ++i) add(kOutcomes[i], outcomes[i]);
-  add("list_news", list_news);
+  add("list_news", on_endpoint_list_update);
   add("list_failures", list_failures);
   add("reloads", reloads);
   add("reloads_refused", reloads_refused);
   add("slow_clients", slow_clients);
-  add("turns", turns);
-  add("longest_turn_us", longest_turn_us);
+  add("turns", iterations);
+  add("longest_turn_us", longest_iteration_us);
   return out;
 }
 
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -32,21 +32,21 @@
   std::uint64_t overdue = 0;                // answered by the core because the module had not by the deadline
   std::uint64_t gone = 0;                   // clients that went away first
   std::uint64_t held = 0;                   // calls of theirs that count as their replicas' work for a while
-  std::uint64_t moved_out = 0;              // answers that another process of this router went on with
-  std::uint64_t moved_in = 0;               // and such that this one went on with
+  std::uint64_t migrated_out = 0;           // answers that another process of this router went on with
+  std::uint64_t migrated_in = 0;            // and such that this one went on with
   std::uint64_t adopted = 0;                // times that what another process knew was taken over
   std::uint64_t calls = 0;                  // call attempts sent
   std::uint64_t written = 0;                // of them, those whose last byte was written to the replica
   std::vector<Answers> answers;             // by class, in the order of the settings
   std::uint64_t second_calls = 0;           // of them, after the first attempt of their RPC
   std::array<std::uint64_t, 8> outcomes{};  // of call attempts, by policy::Outcome
-  std::uint64_t list_news = 0;
+  std::uint64_t on_endpoint_list_update = 0;
   std::uint64_t list_failures = 0;
   std::uint64_t reloads = 0;
   std::uint64_t reloads_refused = 0;  // the file could not be used: the old configuration stayed in force
   std::uint64_t slow_clients = 0;     // times an answer was held up by a client that read too slowly
-  std::uint64_t turns = 0;
-  std::uint64_t longest_turn_us = 0;
+  std::uint64_t iterations = 0;
+  std::uint64_t longest_iteration_us = 0;
 
   std::vector<std::pair<const char*, std::uint64_t>> list() const;
 };
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -21,22 +21,22 @@
 // writes that has no slack of its own leaves room for it.
 inline constexpr Micros kHoldUp = 150 * kMilli;
 
-using RpcId = policy::RequestId;
+using RequestId = policy::RequestId;
 using ReplicaId = policy::WorkerId;
 
-struct CallId {  // one call attempt of an RPC
-  RpcId rpc = 0;
+struct AttemptId {  // one call attempt of an RPC
+  RequestId rpc = 0;
   std::uint32_t attempt = 0;
-  auto operator<=>(const CallId&) const = default;
+  auto operator<=>(const AttemptId&) const = default;
 };
 
 // Which pair of front and subchannels an RPC belongs to. The core only hands the RPC back to its own kind.
 enum class Wire : std::uint8_t { http = 0, kserve = 1 };
 inline constexpr std::size_t kWires = 2;
 
-struct RpcRequest {
+struct Request {
   Wire wire = Wire::http;
-  std::uint32_t klass = 0;
+  std::uint32_t request_class = 0;
   std::uint32_t tenant = 0;
   std::uint64_t session = 0;
   std::uint64_t prefix = 0;
@@ -65,17 +65,17 @@
 // rejected: a replica says that the request itself is at fault, whoever is asked.
 enum class Failure : std::uint8_t { error, deadline, rejected };
 
-// The client's side of one RPC. Exactly one of finish, break_off, unavailable and fail ends it.
-class Channel {
+// The client's side of one RPC. Exactly one of finish, abort_stream, unavailable and fail ends it.
+class ResponseWriter {
  public:
-  virtual ~Channel() = default;
+  virtual ~ResponseWriter() = default;
   // Events of the answer, in order and whole. False: the client reads too slowly; nothing more is to come
   // until the front says Broker::writable.
-  virtual bool pass(std::string_view events) = 0;
-  virtual void finish() = 0;     // the answer is whole
-  virtual void break_off() = 0;  // the answer broke after its first event
+  virtual bool write_events(std::string_view events) = 0;
+  virtual void finish() = 0;        // the answer is whole
+  virtual void abort_stream() = 0;  // the answer broke after its first event
   // Refused: trying again is harmless, after retry_after (0: no advice). late: its deadline has come.
-  virtual void unavailable(Micros retry_after, bool late) = 0;
+  virtual void reject(Micros retry_after, bool late) = 0;
   virtual void fail(Failure why) = 0;
 };
 
@@ -84,7 +84,7 @@
   std::string address;  // host:port
 };
 
-struct ListNews {
+struct EndpointListUpdate {
   policy::ListKind kind = policy::ListKind::failed;
   std::uint32_t version = 0;
   std::vector<Endpoint> entries;
@@ -92,46 +92,49 @@
   std::vector<ReplicaId> unreadable;
 };
 
-// The model replicas behind one wire. Each call is answered by one Broker::call_ended, unless cancelled.
-class Subchannels {
+// The model replicas behind one wire. Each call is answered by one Broker::on_attempt_ended, unless
+// cancelled.
+class ReplicaClient {
  public:
-  virtual ~Subchannels() = default;
+  virtual ~ReplicaClient() = default;
   // no_new_after: the moment from which no first byte of a call may be written; kNever while it is ready.
-  virtual void update(const Endpoint& endpoint, Micros no_new_after) = 0;
-  virtual void call(CallId id, ReplicaId replica, std::shared_ptr<const RpcRequest> rpc, Micros patience) = 0;
-  virtual void cancel(CallId id) = 0;              // silent: no call_ended follows
-  virtual void pause(CallId id, bool paused) = 0;  // stop or go on reading its answer
+  virtual void update_endpoint(const Endpoint& endpoint, Micros no_new_after) = 0;
+  virtual void start_attempt(AttemptId id, ReplicaId replica, std::shared_ptr<const Request> rpc,
+                             Micros patience) = 0;
+  virtual void cancel_attempt(AttemptId id) = 0;              // silent: no on_attempt_ended follows
+  virtual void pause_attempt(AttemptId id, bool paused) = 0;  // stop or go on reading its answer
 };
 
-class ReplicaList {
+class EndpointList {
  public:
-  virtual ~ReplicaList() = default;
-  virtual void observe(bool on) = 0;
+  virtual ~EndpointList() = default;
+  virtual void subscribe(bool on) = 0;
 };
 
 // What routers of a fleet share, as the core needs it. Called on the core's thread, in its turn: nothing here
 // may wait.
-class Sharing {
+class SharedStatePort {
  public:
-  enum class Standing : std::uint8_t { unknown, within, over, refused };
-  struct Word {
-    Standing standing = Standing::unknown;
-    Micros again = 0;  // refused: when to come back
+  enum class QuotaStatus : std::uint8_t { unknown, within, over, refused };
+  struct QuotaDecision {
+    QuotaStatus status = QuotaStatus::unknown;
+    Micros retry_after = 0;  // refused: when to come back
   };
-  virtual ~Sharing() = default;
+  virtual ~SharedStatePort() = default;
   // Before the module sees it: whether its team may have it. Refused ones never get to the module.
-  virtual Word arrived(Micros now, const RpcRequest& rpc) = 0;
-  enum class End : std::uint8_t { served, refused, failed };
-  virtual void answered(const RpcRequest& rpc, End how) = 0;  // each final answer, once
-  virtual void first_event(Micros now, ReplicaId replica) = 0;
-  virtual void call_ended(Micros now, ReplicaId replica, policy::Outcome outcome) = 0;
+  virtual QuotaDecision check_quota(Micros now, const Request& rpc) = 0;
+  enum class RequestOutcome : std::uint8_t { served, refused, failed };
+  virtual void on_request_finished(const Request& rpc,
+                                   RequestOutcome outcome) = 0;  // each final answer, once
+  virtual void on_first_event(Micros now, ReplicaId replica) = 0;
+  virtual void on_attempt_ended(Micros now, ReplicaId replica, policy::Outcome outcome) = 0;
 };
 
 // What the core did with each RPC and call attempt, for whoever wants to count it: off unless set.
 struct Trace {
   enum class What : std::uint8_t { call, ended, bound, unavailable, failed, list, arrived, gone };
   What what;
-  RpcId rpc = 0;
+  RequestId rpc = 0;
   std::uint32_t attempt = 0;
   ReplicaId replica = 0;
   std::string_view detail;  // the outcome, the kind of list news or the client's id; valid for the call only
--- a/src/discovery/boot_clock.cpp
+++ b/src/discovery/boot_clock.cpp
@@ -6,12 +6,12 @@
 
 using core::Micros;
 
-void BootClock::put_right(Micros now, core::ListNews& news) {
+void BootClock::put_right(Micros now, core::EndpointListUpdate& news) {
   known(now, news);
   heard_ = now;
 }
 
-void BootClock::known(Micros now, core::ListNews& news) {
+void BootClock::known(Micros now, core::EndpointListUpdate& news) {
   if (starts_.size() > 4 * kMostEntries) starts_.clear();  // ids that come and go for months
   for (core::Endpoint& entry : news.entries) {
     if (entry.replica.born <= 0.0) continue;  // long ago
--- a/src/discovery/boot_clock.h
+++ b/src/discovery/boot_clock.h
@@ -26,9 +26,9 @@
 
   // A list has come: the start times of its entries, seconds of Unix time, become those of the monotonic
   // clock.
-  void put_right(core::Micros now, core::ListNews& news);
+  void put_right(core::Micros now, core::EndpointListUpdate& news);
   // The list that the router knew at its start, which may be of any age: it proves nothing of later starts.
-  void known(core::Micros now, core::ListNews& news);
+  void known(core::Micros now, core::EndpointListUpdate& news);
   // Word from discovery that brought no list: what is held is as new as that.
   void heard(core::Micros now) { heard_ = now; }
 
--- a/src/discovery/entries.cpp
+++ b/src/discovery/entries.cpp
@@ -27,7 +27,7 @@
 
 core::ReplicaId replica_id(std::string_view uid) { return config::hash_name(uid); }
 
-bool parse_list(std::string_view json, const Names& names, core::ListNews& out) {
+bool parse_list(std::string_view json, const Names& names, core::EndpointListUpdate& out) {
   const Json root = Json::parse(json, nullptr, false);
   if (!root.is_object()) return false;
   const auto targets = root.find("targets");
--- a/src/discovery/entries.h
+++ b/src/discovery/entries.h
@@ -23,6 +23,6 @@
 // False: not a list in discovery's form. Entries without a uid, a usable address or a known state are left
 // out; those that have a uid at least are named in out.unreadable. Start times are Unix time as told:
 // BootClock makes them the router's.
-bool parse_list(std::string_view json, const Names& names, core::ListNews& out);
+bool parse_list(std::string_view json, const Names& names, core::EndpointListUpdate& out);
 
 }  // namespace flintglade::discovery
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -131,7 +131,7 @@
 };
 
 bool Watch::take(std::string_view text) {
-  core::ListNews news;
+  core::EndpointListUpdate news;
   if (!parse_list(text, names_, news)) return false;
   boots_.put_right(clock_.now(), news);
   if (news.kind == policy::ListKind::delta && have_list_ && news.version < version_) {
@@ -158,10 +158,10 @@
       names_(std::move(names)),
       boots_(std::move(boots)),
       silence_(silence) {}
-Watch::~Watch() { observe(false); }
+Watch::~Watch() { subscribe(false); }
 
 void Watch::known(const std::string& json) {
-  core::ListNews news;
+  core::EndpointListUpdate news;
   if (!json.empty() && parse_list(json, names_, news)) {
     boots_.known(clock_.now(), news);
     version_ = news.version;
@@ -181,10 +181,10 @@
   if (to.host == at_.host && to.port == at_.port) return;
   at_ = std::move(to);
   have_list_ = false;  // another service may count its versions otherwise: the whole list is asked for
-  if (wanted_) observe(true);
+  if (wanted_) subscribe(true);
 }
 
-void Watch::observe(bool on) {
+void Watch::subscribe(bool on) {
   wanted_ = on;
   if (session_) {
     session_->stop();
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -23,16 +23,16 @@
 // Where lists are pushed, an agent on this machine answers at once, or not at all while discovery is down.
 inline constexpr Silence kAgentSilence{3 * core::kSecond, 500 * core::kMilli};
 
-class Watch final : public core::ReplicaList {
+class Watch final : public core::EndpointList {
  public:
-  using Tell = std::function<void(core::ListNews)>;
+  using Tell = std::function<void(core::EndpointListUpdate)>;
   Watch(boost::asio::io_context& io, core::Clock& clock, config::HostPort at, Names names, BootClock boots,
         Silence silence = {});
   ~Watch() override;
   void tell(Tell tell) { tell_ = std::move(tell); }
   void known(const std::string& json);  // the list as it was last: the watch starts from its version
   // The module asks, and asks again after a failure; the watch never retries by itself.
-  void observe(bool on) override;
+  void subscribe(bool on) override;
   // A reload: discovery is elsewhere from now on. Asks there at once, if the list was asked for at all,
   // whether or not the module waits to ask again; the list held stays in force until the answer.
   void move(config::HostPort to);
--- a/src/dns/client.cpp
+++ b/src/dns/client.cpp
@@ -137,16 +137,16 @@
   sockets_.erase(it);
 }
 
-void Client::turn() {
+void Client::run_iteration() {
   resolver_.wake(clock_.now());
-  const core::Micros at = resolver_.next_alarm();
+  const core::Micros at = resolver_.next_timer();
   if (at == core::kNever) {
     alarm_.cancel();
     return;
   }
   alarm_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(at)));
   alarm_.async_wait([this](error_code ec) {
-    if (!ec) turn();
+    if (!ec) run_iteration();
   });
 }
 
--- a/src/dns/client.h
+++ b/src/dns/client.h
@@ -24,11 +24,11 @@
   void send(QueryId id, const HostPort& server, std::string message) override;
   void open(QueryId id, const HostPort& server, std::string framed) override;
   void close(QueryId id) override;
-  void turn();  // lets the resolver act, and sets the alarm anew
+  void run_iteration();  // lets the resolver act, and sets the alarm anew
   template <typename F>
   void event(F f) {
     f(clock_.now());
-    turn();
+    run_iteration();
   }
 
   boost::asio::io_context& io_;
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -48,7 +48,7 @@
   out_.clear();
   deadlines_.clear();
   servers_ = std::move(servers);
-  set_ = std::move(settings);
+  settings_ = std::move(settings);
   std::map<std::string, Watched> kept;
   for (const std::string& name : names) {
     const std::string key = canonical(name);
@@ -70,7 +70,7 @@
 // end.
 Micros Resolver::lifetime(std::uint32_t ttl, Micros most) const {
   const Micros span = ttl > 0x7fffffffu ? 0 : static_cast<Micros>(ttl) * kSecond;
-  return std::clamp(span, std::min(set_.least_ttl, most), most);
+  return std::clamp(span, std::min(settings_.least_ttl, most), most);
 }
 
 void Resolver::set_due(const Key& key, Entry& entry, Micros due) {
@@ -102,10 +102,10 @@
 }
 
 void Resolver::want(Micros now, const Key& key, unsigned depth) {
-  if (depth > set_.cname_chain) return;
+  if (depth > settings_.cname_chain) return;
   auto it = cache_.find(key);
   if (it == cache_.end()) {
-    if (cache_.size() >= set_.cache_entries) {
+    if (cache_.size() >= settings_.cache_entries) {
       ++counters_.records_left_out;
       return;
     }
@@ -140,7 +140,7 @@
   // Names before addresses: they tell who drains or is gone. While every server fails, names alone are asked
   // for, and their answers show when it is over.
   for (auto* queue : {&due_names_, &due_addresses_}) {
-    while (out_.size() < set_.outstanding && !queue->empty() && queue->begin()->first <= now) {
+    while (out_.size() < settings_.outstanding && !queue->empty() && queue->begin()->first <= now) {
       if (servers_.empty() || (queue == &due_addresses_ && all_bad(now))) break;
       start(now, Key(queue->begin()->second));
     }
@@ -148,11 +148,11 @@
   if (now >= tell_at_) tell(now);
 }
 
-Micros Resolver::next_alarm() const {
+Micros Resolver::next_timer() const {
   Micros at = tell_at_;
   if (reach_) at = 0;
   if (!deadlines_.empty()) at = std::min(at, deadlines_.begin()->first);
-  if (out_.size() < set_.outstanding && !servers_.empty()) {
+  if (out_.size() < settings_.outstanding && !servers_.empty()) {
     if (!due_names_.empty()) at = std::min(at, due_names_.begin()->first);
     if (!due_addresses_.empty()) {
       Micros open = kNever;
@@ -193,7 +193,7 @@
   query.id = static_cast<std::uint16_t>(random_());
   query.forged = 0;
   query.buffer.clear();
-  query.deadline = now + (query.tcp ? 2 : 1) * set_.timeout;
+  query.deadline = now + (query.tcp ? 2 : 1) * settings_.timeout;
   const QueryId id = ++last_id_;
   std::string message = encode_query(query.id, query.key.name, query.key.type, query.edns ? kUdpSize : 0);
   deadlines_.emplace(query.deadline, id);
@@ -231,7 +231,7 @@
     ask(now, std::move(again));
   };
   if (from.host != at.host || from.port != at.port) return drop(counters_.wrong_source);
-  auto message = decode(bytes, set_.records);
+  auto message = decode(bytes, settings_.records);
   if (!message) return drop(counters_.malformed);
   if (!message->answer) return drop(counters_.no_answer);
   if (message->id != query.id) return drop(counters_.wrong_id);
@@ -244,15 +244,15 @@
   const auto it = out_.find(id);
   if (it == out_.end() || !it->second.tcp) return;
   Query& query = it->second;
-  query.buffer.append(
-      bytes.substr(0, set_.message_bytes + 2 - std::min(query.buffer.size(), set_.message_bytes + 2)));
+  query.buffer.append(bytes.substr(
+      0, settings_.message_bytes + 2 - std::min(query.buffer.size(), settings_.message_bytes + 2)));
   if (query.buffer.size() < 2) return;
   const std::size_t size = static_cast<std::size_t>(static_cast<unsigned char>(query.buffer[0])) << 8 |
                            static_cast<unsigned char>(query.buffer[1]);
-  if (size > set_.message_bytes)
+  if (size > settings_.message_bytes)
     return try_next(now, id, "an answer of " + std::to_string(size) + " bytes", false);
   if (query.buffer.size() < size + 2) return;
-  auto message = decode(std::string_view(query.buffer).substr(2, size), set_.records);
+  auto message = decode(std::string_view(query.buffer).substr(2, size), settings_.records);
   if (!message) ++counters_.malformed;
   if (message && message->id != query.id) ++counters_.wrong_id;
   const bool fits = message && message->answer && !message->truncated && message->id == query.id &&
@@ -305,17 +305,17 @@
 void Resolver::store(Micros now, const Query& query, const Message& message) {
   // Along the CNAMEs that start at the question; whatever else the answer section holds was not asked for.
   std::string at = query.key.name;
-  Micros ttl = set_.most_ttl;
+  Micros ttl = settings_.most_ttl;
   unsigned steps = 0;
   for (bool moved = true; moved;) {
     moved = false;
     for (const Record& r : message.answers) {
       if (r.type != Type::cname || r.owner != at || r.value == at) continue;
-      if (++steps > set_.cname_chain) {
+      if (++steps > settings_.cname_chain) {
         ++counters_.chains_refused;
         return give_up(now, query.key, "a CNAME chain without end");
       }
-      ttl = std::min(ttl, lifetime(r.ttl, set_.most_ttl));
+      ttl = std::min(ttl, lifetime(r.ttl, settings_.most_ttl));
       at = r.value;
       moved = true;
       break;
@@ -324,7 +324,7 @@
   std::vector<Record> found;
   for (const Record& r : message.answers) {
     if (r.type != query.key.type || r.owner != at) continue;
-    ttl = std::min(ttl, lifetime(r.ttl, set_.most_ttl));
+    ttl = std::min(ttl, lifetime(r.ttl, settings_.most_ttl));
     found.push_back(r);
   }
   // Order and doubles say nothing: two answers with the same records are the same.
@@ -355,11 +355,11 @@
       }
     }
     for (auto& [key, records] : glue) {
-      if (cache_.count(key) == 0 && cache_.size() >= set_.cache_entries) continue;
+      if (cache_.count(key) == 0 && cache_.size() >= settings_.cache_entries) continue;
       const auto [at, fresh] = cache_.try_emplace(key);
       if (!fresh && at->second.due == kNever) continue;  // its own question is out, and knows better
-      Micros span = set_.most_ttl;
-      for (const Record& r : records) span = std::min(span, lifetime(r.ttl, set_.most_ttl));
+      Micros span = settings_.most_ttl;
+      for (const Record& r : records) span = std::min(span, lifetime(r.ttl, settings_.most_ttl));
       std::sort(records.begin(), records.end(),
                 [](const Record& a, const Record& b) { return a.value < b.value; });
       keep(now, key, Entry::State::positive, std::move(records), span);
@@ -372,9 +372,9 @@
     return;
   }
   // RFC 2308, 5: as long as the SOA says, and no longer than the operator's bound.
-  Micros span = std::min(set_.negative_ttl, 5 * kSecond);
+  Micros span = std::min(settings_.negative_ttl, 5 * kSecond);
   for (const Record& r : message.authority) {
-    if (r.type == Type::soa) span = lifetime(std::min(r.ttl, r.minimum), set_.negative_ttl);
+    if (r.type == Type::soa) span = lifetime(std::min(r.ttl, r.minimum), settings_.negative_ttl);
   }
   keep(now, query.key, Entry::State::negative, {}, span);
   cache_[query.key].why = static_cast<Rcode>(message.rcode) == Rcode::nxdomain
@@ -395,7 +395,7 @@
   entry.records = std::move(records);
   entry.fetched = now;
   entry.expires = now + ttl;
-  entry.stale_until = entry.expires + set_.stale;
+  entry.stale_until = entry.expires + settings_.stale;
   entry.failures = 0;
   // A little before its end, and not all at one moment.
   set_due(key, entry, now + static_cast<Micros>(static_cast<double>(ttl) * (0.8 + 0.1 * unit())));
@@ -414,7 +414,7 @@
     const Micros wait = doubled(kServerBackOff, server.failures++, kMostServerBackOff);
     server.bad_until = now + static_cast<Micros>(static_cast<double>(wait) * (0.5 + 0.5 * unit()));
   }
-  if (query.tried.size() >= set_.tries) return give_up(now, query.key, why);
+  if (query.tried.size() >= settings_.tries) return give_up(now, query.key, why);
   query.tcp = false;
   ask(now, std::move(query));
 }
@@ -434,7 +434,7 @@
 // --------------------------------------------------------------------------------------------------
 
 const Resolver::Entry* Resolver::follow(std::string name, Type type) const {
-  for (unsigned i = 0; i <= set_.cname_chain; ++i) {
+  for (unsigned i = 0; i <= settings_.cname_chain; ++i) {
     const auto it = cache_.find({name, type});
     if (it == cache_.end()) return nullptr;
     if (it->second.state != Entry::State::alias) return &it->second;
@@ -448,7 +448,7 @@
     const Entry* e = follow(target.host, type);
     if (e == nullptr) {
       // Not asked for yet, or no room for it.
-      if (cache_.size() < set_.cache_entries) complete = false;
+      if (cache_.size() < settings_.cache_entries) complete = false;
       break;
     }
     if (!e->told() || now >= e->stale_until) {
--- a/src/dns/resolver.h
+++ b/src/dns/resolver.h
@@ -93,14 +93,14 @@
   void refresh(Micros now, const std::string& name);  // ask at the next turn, whatever the lifetime
 
   void wake(Micros now);
-  Micros next_alarm() const;
+  Micros next_timer() const;
 
   void datagram(Micros now, QueryId id, const HostPort& from, std::string_view bytes);
   void stream(Micros now, QueryId id, std::string_view bytes);
   void broken(Micros now, QueryId id, const std::string& why);
 
   SrvAnswer answer(Micros now, const std::string& name) const;
-  const ResolverSettings& settings() const { return set_; }
+  const ResolverSettings& settings() const { return settings_; }
   const ResolverCounters& counters() const { return counters_; }
   std::size_t cached() const { return cache_.size(); }
   std::size_t outstanding() const { return out_.size(); }
@@ -164,7 +164,7 @@
   void fill(Micros now, Target& target, bool& complete) const;
   void stir(const Key& key, bool changed);
 
-  ResolverSettings set_;
+  ResolverSettings settings_;
   Random random_;
   Transport& transport_;
   ResolverListener& listener_;
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -49,7 +49,7 @@
 }
 
 void EndpointMerger::configure(Micros now, Settings settings, std::vector<SourceSpec> specs) {
-  set_ = settings;
+  settings_ = settings;
   std::vector<Source> fresh;
   for (SourceSpec& spec : specs) {
     Source source;
@@ -121,7 +121,7 @@
       word.since = old.since;
       word.back_at = old.back_at;
     } else if (word.standing == Standing::ready && was_bad && held_back) {
-      word.back_at = now + set_.back_after;
+      word.back_at = now + settings_.back_after;
     }
     word.new_since = was_out ? source.answered && !old.all_at_once : old.new_since;
   }
@@ -136,7 +136,7 @@
   word.doubted = false;
 }
 
-void EndpointMerger::known(Micros now, const core::ListNews& news) {
+void EndpointMerger::known(Micros now, const core::EndpointListUpdate& news) {
   for (Source& source : sources_) {
     if (!source.spec.list) continue;
     take_list(now, source, news, true);
@@ -145,7 +145,7 @@
   settle(now);
 }
 
-void EndpointMerger::list(Micros now, const core::ListNews& news) {
+void EndpointMerger::list(Micros now, const core::EndpointListUpdate& news) {
   for (Source& source : sources_) {
     if (!source.spec.list || source.leaving) continue;
     take_list(now, source, news, !source.answered);
@@ -154,7 +154,7 @@
   settle(now);
 }
 
-void EndpointMerger::take_list(Micros now, Source& source, const core::ListNews& news, bool first) {
+void EndpointMerger::take_list(Micros now, Source& source, const core::EndpointListUpdate& news, bool first) {
   const bool whole = news.kind != policy::ListKind::delta;
   // A list that was set back (its service restored, another instance asked) may not bring back what it has
   // already called gone; only time can tell which of the two was right.
@@ -230,7 +230,7 @@
   }
   // The guard counts from the most that the source has named of late, so that many small steps are one large
   // one.
-  if (now - source.peak_at > set_.guard) source.peak = 0;
+  if (now - source.peak_at > settings_.guard) source.peak = 0;
   if (before >= source.peak) {
     source.peak = before;
     source.peak_at = now;
@@ -238,7 +238,7 @@
   const std::size_t stay = before - left_out.size();
   const bool too_many =
       source.answered && !left_out.empty() &&
-      static_cast<double>(stay) < (1.0 - set_.guard_part) * static_cast<double>(source.peak);
+      static_cast<double>(stay) < (1.0 - settings_.guard_part) * static_cast<double>(source.peak);
   bool doubt = too_many;
   if (!too_many) {
     source.doubt_since = kNever;
@@ -246,12 +246,12 @@
     source.doubt_since = now;
     source.asked_again = false;
     ++source.doubts;
-  } else if (now >= source.doubt_since + set_.guard && source.asked_again) {
+  } else if (now >= source.doubt_since + settings_.guard && source.asked_again) {
     doubt = false;  // it has stood, and was asked for again meanwhile
     source.doubt_since = kNever;
     source.peak = 0;
   }
-  if (doubt) alarm(source.doubt_since + set_.guard);
+  if (doubt) alarm(source.doubt_since + settings_.guard);
   for (const std::string& address : left_out) {
     if (doubt) {
       source.words[address].doubted = true;
@@ -270,7 +270,8 @@
   for (Source& s : sources_) {
     if (s.doubt_since == kNever || s.spec.list || s.leaving) continue;
     // Half-way through, and from the end on until an answer comes.
-    if (now >= s.doubt_since + set_.guard || (!s.asked_again && now >= s.doubt_since + set_.guard / 2)) {
+    if (now >= s.doubt_since + settings_.guard ||
+        (!s.asked_again && now >= s.doubt_since + settings_.guard / 2)) {
       s.asked_again = true;
       out.push_back(s.spec.dns_name);
     }
@@ -283,14 +284,15 @@
 
 // A source that has failed for very long has no say beside one that answers; alone it is better than nothing.
 bool EndpointMerger::lapsed(const Source& source, Micros now) const {
-  if (!source.failing || source.last_answer < 0 || now - source.last_answer < set_.source_stale) return false;
+  if (!source.failing || source.last_answer < 0 || now - source.last_answer < settings_.source_stale)
+    return false;
   return std::any_of(sources_.begin(), sources_.end(), [this](const Source& s) { return current(s); });
 }
 
 void EndpointMerger::wake(Micros now) {
   if (now >= alarm_) settle(now);
 }
-Micros EndpointMerger::next_alarm() const { return alarm_; }
+Micros EndpointMerger::next_timer() const { return alarm_; }
 
 void EndpointMerger::settle(Micros now) {
   alarm_ = kNever;
@@ -313,12 +315,12 @@
   for (Source& source : sources_) {
     if (source.leaving) alarm(source.leave_by);
     if (source.doubt_since != kNever) {
-      alarm(std::max(now + kSecond, source.asked_again ? source.doubt_since + set_.guard
-                                                       : source.doubt_since + set_.guard / 2));
+      alarm(std::max(now + kSecond, source.asked_again ? source.doubt_since + settings_.guard
+                                                       : source.doubt_since + settings_.guard / 2));
     }
     if (lapsed(source, now)) continue;
     if (source.failing && source.last_answer >= 0)
-      alarm(std::max(now + kSecond, source.last_answer + set_.source_stale));
+      alarm(std::max(now + kSecond, source.last_answer + settings_.source_stale));
     for (auto it = source.words.begin(); it != source.words.end();) {
       const Word& word = it->second;
       if (word.standing == Standing::gone && now - word.since >= kGoneMemory) {
@@ -421,19 +423,19 @@
     const Count& c = it->second;
     Group& group = groups_[it->first];
     const double part = c.known > 0.0 ? c.ready / c.known : 0.0;
-    const double can = std::min(1.0, part / set_.spill_below);
-    double step = part >= set_.spill_below ? 1.0 : std::floor(can * kSteps) / kSteps;
+    const double can = std::min(1.0, part / settings_.spill_below);
+    double step = part >= settings_.spill_below ? 1.0 : std::floor(can * kSteps) / kSteps;
     if (c.ready > 0.0) step = std::max(step, 1.0 / kSteps);
     if (c.ready == 0.0) step = 0.0;
     if (step < group.kept) {
       group.kept = step;
       group.lowered = now;
     } else if (step > group.kept) {
-      const bool well = step < 1.0 || part >= set_.spill_end;
-      if (group.kept == 0.0 || (well && now >= group.lowered + set_.spill_hold)) {
+      const bool well = step < 1.0 || part >= settings_.spill_end;
+      if (group.kept == 0.0 || (well && now >= group.lowered + settings_.spill_hold)) {
         group.kept = step;
       } else if (well) {
-        alarm(group.lowered + set_.spill_hold);
+        alarm(group.lowered + settings_.spill_hold);
       }
     }
     const bool others =
@@ -464,8 +466,8 @@
 // ---- telling
 // --------------------------------------------------------------------------------------------------
 
-std::optional<core::ListNews> EndpointMerger::changes() {
-  core::ListNews news;
+std::optional<core::EndpointListUpdate> EndpointMerger::changes() {
+  core::EndpointListUpdate news;
   news.kind = policy::ListKind::delta;
   for (const auto& [address, v] : verdicts_) {
     const auto it = told_.find(address);
@@ -496,8 +498,8 @@
   return news;
 }
 
-core::ListNews EndpointMerger::whole() const {
-  core::ListNews news;
+core::EndpointListUpdate EndpointMerger::whole() const {
+  core::EndpointListUpdate news;
   news.kind = policy::ListKind::full;
   news.version = version_;
   for (const auto& [address, v] : verdicts_) {
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -99,17 +99,17 @@
   // has answered or failed.
   void configure(Micros now, Settings settings, std::vector<SourceSpec> sources);
 
-  void known(Micros now, const core::ListNews& news);  // before anything else
-  void list(Micros now, const core::ListNews& news);
+  void known(Micros now, const core::EndpointListUpdate& news);  // before anything else
+  void list(Micros now, const core::EndpointListUpdate& news);
   void dns(Micros now, const std::string& source, const DnsFacts& facts);
   void failed(Micros now, const std::string& source, const std::string& why);
   void wake(Micros now);
-  Micros next_alarm() const;
+  Micros next_timer() const;
 
   // What changed since the last call; nothing if nothing did. An address that no source names any more is
   // gone.
-  std::optional<core::ListNews> changes();
-  core::ListNews whole() const;  // all that there is to tell
+  std::optional<core::EndpointListUpdate> changes();
+  core::EndpointListUpdate whole() const;  // all that there is to tell
 
   bool answered() const;                            // some source has
   bool all_failed() const;                          // none has, and each has failed to
@@ -151,12 +151,12 @@
   void good(Micros now, Source& source);
   void say(Micros now, Source& source, const std::string& address, Word word, bool held_back);
   void drop(Micros now, Source& source, const std::string& address);
-  void take_list(Micros now, Source& source, const core::ListNews& news, bool first);
+  void take_list(Micros now, Source& source, const core::EndpointListUpdate& news, bool first);
   void settle(Micros now);  // derives the verdicts
   void spread(Micros now);  // priority groups and sizes
   void alarm(Micros at) { alarm_ = std::min(alarm_, at); }
 
-  Settings set_;
+  Settings settings_;
   std::vector<Source> sources_;
   std::map<std::string, Verdict> verdicts_;
   std::map<std::string, core::Endpoint> told_;
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -42,24 +42,24 @@
       alarm_(io),
       again_(io),
       uses_list_(has_list(specs_)) {
-  watch_.tell([this](core::ListNews news) { listed(std::move(news)); });
+  watch_.tell([this](core::EndpointListUpdate news) { listed(std::move(news)); });
 }
 EndpointSources::~EndpointSources() {
-  watch_.tell([](core::ListNews) {});
+  watch_.tell([](core::EndpointListUpdate) {});
 }
 
 void EndpointSources::start(const std::string& known) {
   if (uses_list_) watch_.known(known);
-  core::ListNews held = membership_.whole();
+  core::EndpointListUpdate held = membership_.whole();
   membership_.changes();
   held.kind = policy::ListKind::cached;
   tell_(std::move(held));
-  if (uses_list_) watch_.observe(true);
+  if (uses_list_) watch_.subscribe(true);
   client_.configure(client_.resolver().settings(), dns_names(specs_));
   settle();
 }
 
-void EndpointSources::observe(bool on) {
+void EndpointSources::subscribe(bool on) {
   asked_ = on;
   if (on) settle();
 }
@@ -70,7 +70,7 @@
   const bool used = std::exchange(uses_list_, has_list(specs_));
   if (used != uses_list_) {
     again_.cancel();
-    watch_.observe(uses_list_);
+    watch_.subscribe(uses_list_);
   }
   client_.configure(resolver_settings(file.resolver()), dns_names(specs_));
   settle();
@@ -79,7 +79,7 @@
 // ---- what sources say
 // -----------------------------------------------------------------------------------------
 
-void EndpointSources::listed(core::ListNews news) {
+void EndpointSources::listed(core::EndpointListUpdate news) {
   for (core::Endpoint& entry : news.entries) {
     if (!entry.address.empty()) entry.address = canonical_address(entry.address);
   }
@@ -104,7 +104,7 @@
   const double jitter = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
   again_.expires_after(std::chrono::microseconds(static_cast<Micros>(static_cast<double>(wait) * jitter)));
   again_.async_wait([this](error_code ec) {
-    if (!ec && uses_list_) watch_.observe(true);
+    if (!ec && uses_list_) watch_.subscribe(true);
   });
 }
 
@@ -139,7 +139,7 @@
     // Not from inside the resolver's own turn.
     boost::asio::post(io_, [this, name] { client_.refresh(name); });
   }
-  std::optional<core::ListNews> changes;
+  std::optional<core::EndpointListUpdate> changes;
   if (std::exchange(seen_, membership_.generation()) != membership_.generation()) {
     log_changes();
     changes = membership_.changes();
@@ -154,7 +154,7 @@
   } else if (told_ && changes) {
     tell_(std::move(*changes));
   }
-  const Micros at = membership_.next_alarm();
+  const Micros at = membership_.next_timer();
   if (at == core::kNever) {
     alarm_.cancel();
     return;
--- a/src/endpoint_sources/endpoint_sources.h
+++ b/src/endpoint_sources/endpoint_sources.h
@@ -16,9 +16,9 @@
 
 namespace flintglade::endpoint_sources {
 
-class EndpointSources final : public core::ReplicaList, private dns::ResolverListener {
+class EndpointSources final : public core::EndpointList, private dns::ResolverListener {
  public:
-  using Tell = std::function<void(core::ListNews)>;
+  using Tell = std::function<void(core::EndpointListUpdate)>;
   // watch is borrowed; it is used only where a source is the platform's list.
   EndpointSources(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
                   const deploy::Membership& file, std::vector<SourceSpec> specs);
@@ -27,7 +27,7 @@
   void tell(Tell tell) { tell_ = std::move(tell); }
   void start(const std::string& known);  // the platform's last known list, or nothing
   // The core asks for the list, and again after a failure. What is held is told at once.
-  void observe(bool on) override;
+  void subscribe(bool on) override;
   void reload(const deploy::Membership& file, std::vector<SourceSpec> specs);
 
   std::string status() const;  // how each source does, in one line
@@ -38,7 +38,7 @@
  private:
   void answered(const std::string& name, const dns::SrvAnswer& answer) override;
   void failed(const std::string& name, const std::string& why) override;
-  void listed(core::ListNews news);
+  void listed(core::EndpointListUpdate news);
   void ask_list_again();
   void settle();  // tells what changed, and sets the alarm
   const SourceSpec* by_dns_name(const std::string& name) const;
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -198,7 +198,7 @@
 
 }  // namespace
 
-std::string encode_snapshot(const core::Broker::Handed& from, const Origin& writer, Micros now) {
+std::string encode_snapshot(const core::Broker::ProcessSnapshot& from, const Origin& writer, Micros now) {
   State state;
   state.set_router(writer.router);
   state.set_discovery(writer.discovery);
@@ -218,7 +218,7 @@
     if (e.replica.born != 0.0)
       to.set_born_unix_us(std::llround(e.replica.born * 1e6) + writer.unix_less_monotonic);
   }
-  for (const core::Broker::Handed::Word& w : from.retired) {
+  for (const core::Broker::ProcessSnapshot::RetiredReplica& w : from.retired) {
     State::Word& to = *state.add_retired();
     to.set_replica(w.replica);
     to.set_since_us(w.since);
@@ -234,7 +234,7 @@
 }
 
 std::string decode_snapshot(std::string_view bytes, const Origin& reader, Micros now,
-                            core::Broker::Handed& out, bool& same_list) {
+                            core::Broker::ProcessSnapshot& out, bool& same_list) {
   if (bytes.size() < kHead || bytes.substr(0, 4) != std::string_view(kMagic, 4))
     return "it is no state of a router";
   if (get(bytes, 4) != kSnapshotVersion) return "it is of version " + std::to_string(get(bytes, 4));
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -32,11 +32,12 @@
 // What the reader says of a state that a process as young as itself has written: most often, its own.
 inline constexpr char kWriterNotOlder[] = "its writer is no older than this process";
 
-std::string encode_snapshot(const core::Broker::Handed& from, const Origin& writer, core::Micros now);
+std::string encode_snapshot(const core::Broker::ProcessSnapshot& from, const Origin& writer,
+                            core::Micros now);
 
 // Empty, and what it says; or why it says nothing to this reader. same_list: its list comes from where ours
 // does. Everything in out is finite and within bounds that the module can work with.
 std::string decode_snapshot(std::string_view bytes, const Origin& reader, core::Micros now,
-                            core::Broker::Handed& out, bool& same_list);
+                            core::Broker::ProcessSnapshot& out, bool& same_list);
 
 }  // namespace flintglade::hot_restart
--- a/src/http/replica_client.cpp
+++ b/src/http/replica_client.cpp
@@ -49,7 +49,7 @@
     ++owner.connections_;
   }
 
-  void assign(core::CallId id, std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
+  void assign(core::AttemptId id, std::shared_ptr<const core::Request> rpc, Micros patience) {
     id_ = id;
     rpc_ = std::move(rpc);
     expires_ = owner_->clock_.now() + patience;
@@ -76,8 +76,8 @@
       return end(Outcome::connect_failed);
     }
     endpoint_ = {ip, to.port};
-    dial_until_ = owner_->clock_.now() + owner_->set_.dial_timeout;
-    dial_.expires_after(std::chrono::microseconds(owner_->set_.dial_timeout));
+    dial_until_ = owner_->clock_.now() + owner_->settings_.dial_timeout;
+    dial_.expires_after(std::chrono::microseconds(owner_->settings_.dial_timeout));
     dial_.async_wait([self = shared_from_this()](error_code cancelled) {
       if (!cancelled && !self->connected_) self->end(Outcome::connect_failed);
     });
@@ -136,7 +136,7 @@
                      if (ec)
                        return self->end(Outcome::connect_failed);  // broke before the last byte: never ran
                      self->written_ = true;
-                     self->owner_->broker_.call_written();
+                     self->owner_->broker_.on_attempt_written();
                    });
   }
 
@@ -185,13 +185,13 @@
     to.set_replica_keeps(parser_->keep_alive());
     return socket_.native_handle();
   }
-  void moved_out() {
+  void migrated_out() {
     --std::exchange(owner_, nullptr)->connections_;
     leave(socket_);
   }
   // The parser is brought to where the other process's stood: in a chunk of which so much is left, or behind
   // one.
-  void move_in(core::CallId id, int descriptor, const hot_restart::Stream& from) {
+  void migrate_in(core::AttemptId id, int descriptor, const hot_restart::Stream& from) {
     assign(id, nullptr, core::kNever / 2);
     error_code ec;
     socket_.assign(protocol_of(descriptor), descriptor, ec);
@@ -259,7 +259,7 @@
   void pass_on(std::string events) {
     if (events.empty()) return;
     began_ = true;
-    owner_->broker_.call_events(id_, std::move(events));
+    owner_->broker_.on_attempt_events(id_, std::move(events));
   }
 
   void done() {
@@ -275,9 +275,9 @@
     }
     const bool reusable = parser_->keep_alive() && written_ && buffer_.size() == 0;
     if (status == 400 || status == 413 || status == 422) {
-      owner_->broker_.call_rejected(id_);
+      owner_->broker_.on_attempt_rejected(id_);
     } else {
-      owner_->broker_.call_ended(id_, outcome, events_.cached_tokens());
+      owner_->broker_.on_attempt_ended(id_, outcome, events_.cached_tokens());
     }
     HttpReplicaClient& owner = *owner_;
     owner.calls_.erase(key(id_));
@@ -295,7 +295,7 @@
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
     owner_->calls_.erase(key(id_));
-    owner_->broker_.call_ended(id_, outcome);
+    owner_->broker_.on_attempt_ended(id_, outcome);
     close();
   }
 
@@ -311,8 +311,8 @@
   tcp::endpoint endpoint_;
   asio::steady_timer dial_, dial_again_;  // until the connection has to be up; until it is tried again
   Micros dial_until_ = 0;
-  core::CallId id_;
-  std::shared_ptr<const core::RpcRequest> rpc_;
+  core::AttemptId id_;
+  std::shared_ptr<const core::Request> rpc_;
   std::string head_;
   Micros expires_ = 0, idle_since_ = 0;
   Micros head_since_ = core::kNever;  // the first byte of a head that is not whole yet
@@ -331,7 +331,9 @@
 
 HttpReplicaClient::HttpReplicaClient(asio::io_context& io, core::Broker& broker, core::Clock& clock,
                                      ReplicaClientSettings settings)
-    : io_(io), broker_(broker), clock_(clock), set_(settings), sweeper_(io, clock, [this] { sweep(); }) {}
+    : io_(io), broker_(broker), clock_(clock), settings_(settings), sweeper_(io, clock, [this] {
+        sweep();
+      }) {}
 
 HttpReplicaClient::~HttpReplicaClient() {
   for (auto& [id, connection] : calls_) connection->close();
@@ -339,10 +341,10 @@
 }
 
 Micros HttpReplicaClient::keep_for() const {
-  return std::max(set_.conn_idle / 2, set_.conn_idle - kIdleMargin);
+  return std::max(settings_.conn_idle / 2, settings_.conn_idle - kIdleMargin);
 }
 
-void HttpReplicaClient::update(const core::Endpoint& endpoint, Micros no_new_after) {
+void HttpReplicaClient::update_endpoint(const core::Endpoint& endpoint, Micros no_new_after) {
   Subchannel& sub = subs_[endpoint.replica.id];
   const bool moved = !endpoint.address.empty() && sub.address != endpoint.address;
   if (moved) sub.address = endpoint.address;
@@ -350,12 +352,12 @@
   if (moved || no_new_after != core::kNever) drop_idle(sub);
 }
 
-void HttpReplicaClient::call(core::CallId id, core::ReplicaId replica,
-                             std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
+void HttpReplicaClient::start_attempt(core::AttemptId id, core::ReplicaId replica,
+                                      std::shared_ptr<const core::Request> rpc, Micros patience) {
   const auto sub = subs_.find(replica);
   const Micros now = clock_.now();
   if (sub == subs_.end() || now >= sub->second.no_new_after) {
-    return broker_.call_ended(id, Outcome::connect_failed);
+    return broker_.on_attempt_ended(id, Outcome::connect_failed);
   }
   auto& idle = sub->second.idle;
   const auto settled = std::find_if(idle.rbegin(), idle.rend(), [this, now](const auto& c) {
@@ -368,8 +370,8 @@
     connection->assign(id, std::move(rpc), patience);
     return connection->send();
   }
-  if (connections_ >= set_.room() && !shed_idle()) {
-    return broker_.call_ended(id, Outcome::connect_failed);
+  if (connections_ >= settings_.room() && !shed_idle()) {
+    return broker_.on_attempt_ended(id, Outcome::connect_failed);
   }
   const auto connection = std::make_shared<Connection>(*this, replica);
   calls_[key(id)] = connection;
@@ -377,7 +379,7 @@
   connection->dial(sub->second.address);
 }
 
-void HttpReplicaClient::cancel(core::CallId id) {
+void HttpReplicaClient::cancel_attempt(core::AttemptId id) {
   const auto it = calls_.find(key(id));
   if (it == calls_.end()) return;
   const auto connection = it->second;
@@ -385,20 +387,20 @@
   connection->close();
 }
 
-int HttpReplicaClient::describe(core::CallId id, hot_restart::Stream& to) const {
+int HttpReplicaClient::describe(core::AttemptId id, hot_restart::Stream& to) const {
   const auto it = calls_.find(key(id));
   return it == calls_.end() ? -1 : it->second->describe(to);
 }
-void HttpReplicaClient::moved_out(core::CallId id) {
-  if (const auto node = calls_.extract(key(id))) node.mapped()->moved_out();
+void HttpReplicaClient::migrated_out(core::AttemptId id) {
+  if (const auto node = calls_.extract(key(id))) node.mapped()->migrated_out();
 }
-void HttpReplicaClient::move_in(core::CallId id, core::ReplicaId replica, int descriptor,
-                                const hot_restart::Stream& from) {
+void HttpReplicaClient::migrate_in(core::AttemptId id, core::ReplicaId replica, int descriptor,
+                                   const hot_restart::Stream& from) {
   const auto connection = calls_[key(id)] = std::make_shared<Connection>(*this, replica);
-  connection->move_in(id, descriptor, from);
+  connection->migrate_in(id, descriptor, from);
 }
 
-void HttpReplicaClient::pause(core::CallId id, bool paused) {
+void HttpReplicaClient::pause_attempt(core::AttemptId id, bool paused) {
   const auto it = calls_.find(key(id));
   if (it != calls_.end()) it->second->pause(paused);
 }
--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -41,7 +41,7 @@
 }
 
 // What the client says to the replica, an idempotency key say, goes through a router as it is.
-void read_metadata(const Request& request, core::RpcRequest& out) {
+void read_metadata(const Request& request, core::Request& out) {
   beast_http::token_list of_connection(request[field::connection]);
   for (const auto& header : request) {
     if (passes_on(header, of_connection))
@@ -79,7 +79,7 @@
   return view(target.substr(0, target.find('?')));
 }
 
-std::string to_rpc(Request&& request, const config::Labels& labels, core::RpcRequest& out) {
+std::string to_rpc(Request&& request, const config::Labels& labels, core::Request& out) {
   out.trace_id = view(request["X-Trace-Id"]);
   if (out.trace_id.empty()) return "X-Trace-Id is missing";
   config::RequestLabels said;
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -18,6 +18,6 @@
 std::string_view path_of(boost::beast::string_view target);  // without the query
 
 // Empty and the RPC, or what is wrong with the request.
-std::string to_rpc(Request&& request, const config::Labels& labels, core::RpcRequest& out);
+std::string to_rpc(Request&& request, const config::Labels& labels, core::Request& out);
 
 }  // namespace flintglade::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -81,7 +81,8 @@
 
 }  // namespace
 
-class HttpServer::Connection final : public core::Channel, public std::enable_shared_from_this<Connection> {
+class HttpServer::Connection final : public core::ResponseWriter,
+                                     public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpServer& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), end_(socket_.get_executor()) {
@@ -134,8 +135,8 @@
     });
   }
 
-  // ---- core::Channel ----
-  bool pass(std::string_view events) override {
+  // ---- core::ResponseWriter ----
+  bool write_events(std::string_view events) override {
     if (owner_ == nullptr) return true;
     if (!began_) {
       began_ = true;
@@ -156,11 +157,11 @@
     out_ += "0\r\n\r\n";
     answered();
   }
-  void break_off() override {  // what has come goes out; the last chunk does not
+  void abort_stream() override {  // what has come goes out; the last chunk does not
     broken_off_ = true;
     answered();
   }
-  void unavailable(Micros retry_after, bool) override {
+  void reject(Micros retry_after, bool) override {
     std::array<char, 48> text{};
     if (retry_after > 0) {
       std::snprintf(text.data(), text.size(), "Retry-After: %.3f\r\n",
@@ -191,13 +192,13 @@
     return socket_.native_handle();
   }
   // Another process has the connection too: our end of it goes without a word to the client.
-  void moved_out() {
+  void migrated_out() {
     rpc_ = 0;
     const auto self = shared_from_this();
     std::exchange(owner_, nullptr)->connections_.erase(self);
     leave(socket_);
   }
-  void move_in(const hot_restart::Stream& from, core::RpcId rpc) {
+  void migrate_in(const hot_restart::Stream& from, core::RequestId rpc) {
     rpc_ = rpc;
     if (rpc == 0) return drop();
     looked_ = asked_ = began_ = true;
@@ -217,7 +218,7 @@
     if (asked_) return std::min(since_ + kHalfRequest, heard_ + kStoppedRequest);
     return connected_ + (half_ ? kFirstRequest : kSilent);
   }
-  bool half_read() const { return half_ && rpc_ == 0 && !refused_; }
+  bool partially_read_requests() const { return half_ && rpc_ == 0 && !refused_; }
   bool quiet(Micros now) const { return idle() && asked_ && now - since_ > kQuiet; }
   Client client() const {
     const bool busy = rpc_ != 0 || writing_ || !out_.empty() || !looked_;
@@ -233,7 +234,7 @@
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
     HttpServer& owner = *std::exchange(owner_, nullptr);
-    if (rpc_ != 0) owner.broker_.client_gone(rpc_);
+    if (rpc_ != 0) owner.broker_.on_client_disconnected(rpc_);
     error_code ignored;
     end_.cancel();
     socket_.shutdown(tcp::socket::shutdown_both, ignored);
@@ -319,8 +320,8 @@
       respond(405, "POST only\n");
       return write();
     }
-    auto rpc = std::make_shared<core::RpcRequest>();
-    const std::string wrong = to_rpc(std::move(request), owner_->set_.labels, *rpc);
+    auto rpc = std::make_shared<core::Request>();
+    const std::string wrong = to_rpc(std::move(request), owner_->settings_.labels, *rpc);
     if (!wrong.empty()) {
       respond(400, wrong + "\n");
       return write();
@@ -328,14 +329,14 @@
     if (owner_->crowded()) {
       // The kernel takes clients in whether we accept them or not, and what they have sent then counts as
       // taken. Rather than leave them waiting in the listener's queue, tell them at once to come again.
-      owner_->broker_.turned_away(rpc->klass);
+      owner_->broker_.on_request_shed(rpc->klass);
       wanted_back_ = true;
       respond(503, kTooMany, kComeAgain);
       return write();
     }
     if (owner_->wants_room()) wanted_back_ = true;  // served, but its descriptor is wanted back
     began_ = false;
-    rpc_ = owner_->broker_.arrived(std::move(rpc), shared_from_this());
+    rpc_ = owner_->broker_.on_request(std::move(rpc), shared_from_this());
     if (rpc_ == 0) {
       respond(409, "a request with this id is open\n");
       write();
@@ -395,7 +396,7 @@
     if (!out_.empty()) return write();
     if (held_up_) {
       held_up_ = false;
-      owner_->broker_.writable(rpc_);
+      owner_->broker_.on_client_writable(rpc_);
     }
     settle();
   }
@@ -433,10 +434,10 @@
   boost::beast::flat_buffer buffer_;
   std::optional<beast_http::request_parser<beast_http::string_body>> parser_;
   std::string out_, sending_;
-  core::RpcId rpc_ = 0;  // the RPC that waits for its answer; 0: none
-  Micros since_ = 0;     // the last step forward: a request's first byte, or a write
-  Micros heard_ = 0;     // the last byte that came
-  Micros queued_ = 0;    // how long the first byte that is read has waited for us
+  core::RequestId rpc_ = 0;  // the RPC that waits for its answer; 0: none
+  Micros since_ = 0;         // the last step forward: a request's first byte, or a write
+  Micros heard_ = 0;         // the last byte that came
+  Micros queued_ = 0;        // how long the first byte that is read has waited for us
   Micros connected_ = 0;
   bool looked_ = false;  // what came with the connection has been read
   bool asked_ = false;   // a whole request has come on it
@@ -454,7 +455,7 @@
     : io_(io),
       broker_(broker),
       clock_(clock),
-      set_(std::move(settings)),
+      settings_(std::move(settings)),
       acceptor_(io),
       sweeper_(io, clock, [this] { sweep(); }),
       again_(io) {}
@@ -497,7 +498,8 @@
   // listener's queue until a connection ends.
   const ConnectionEviction crowd = this->crowd();
   if (crowd.pressing(connections_.size())) make_room(crowd);
-  accepting_ = acceptor_.is_open() && (!open_ || open_()) && connections_.size() < crowd.room() + set_.crowd;
+  accepting_ =
+      acceptor_.is_open() && (!open_ || open_()) && connections_.size() < crowd.room() + settings_.crowd;
   if (wants_room()) sweeper_.by(clock_.now() + IdleTimer::kApart);
   if (!accepting_) return;
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
@@ -521,12 +523,12 @@
   });
 }
 
-bool HttpServer::crowded() const { return over_budget() && broker_.open_rpcs() >= set_.room(); }
+bool HttpServer::crowded() const { return over_budget() && broker_.requests_in_flight() >= settings_.room(); }
 // Quiet connections are to go, or nobody can be let in: that is looked at now and again.
 bool HttpServer::wants_room() const {
   return crowd().filling(connections_.size()) || (!accepting_ && acceptor_.is_open());
 }
-bool HttpServer::over_budget() const { return connections_.size() > set_.room(); }
+bool HttpServer::over_budget() const { return connections_.size() > settings_.room(); }
 
 // Clients may ask once and hold their connection for good, or never ask: http/connection_eviction.h says who
 // goes, and when.
@@ -558,29 +560,32 @@
   accepting_ = was_accepting;
 }
 
-int HttpServer::describe(core::Channel& client, hot_restart::Stream& to) {
+int HttpServer::describe(core::ResponseWriter& client, hot_restart::Stream& to) {
   return static_cast<Connection&>(client).describe(to);
 }
-void HttpServer::moved_out(core::Channel& client) { static_cast<Connection&>(client).moved_out(); }
-void HttpServer::move_in(int descriptor, const hot_restart::Stream& from,
-                         const std::function<core::RpcId(std::shared_ptr<core::Channel>)>& go_on) {
+void HttpServer::migrated_out(core::ResponseWriter& client) {
+  static_cast<Connection&>(client).migrated_out();
+}
+void HttpServer::migrate_in(
+    int descriptor, const hot_restart::Stream& from,
+    const std::function<core::RequestId(std::shared_ptr<core::ResponseWriter>)>& go_on) {
   error_code ec;
   tcp::socket socket(io_);
   socket.assign(protocol_of(descriptor), descriptor, ec);
   const auto connection = std::make_shared<Connection>(*this, std::move(socket));
   connections_.insert(connection);
-  connection->move_in(from, go_on(connection));
+  connection->migrate_in(from, go_on(connection));
 }
 
-std::size_t HttpServer::half_read() const {
-  return static_cast<std::size_t>(
-      std::count_if(connections_.begin(), connections_.end(), [](const auto& c) { return c->half_read(); }));
+std::size_t HttpServer::partially_read_requests() const {
+  return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
+                                                [](const auto& c) { return c->partially_read_requests(); }));
 }
 
 void HttpServer::refuse_half_read() {
   std::vector<std::shared_ptr<Connection>> half;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(half),
-               [](const auto& c) { return c->half_read(); });
+               [](const auto& c) { return c->partially_read_requests(); });
   for (const auto& c : half) c->make_way();
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -38,16 +38,16 @@
   // Called when no descriptor is left: gives one back elsewhere.
   void on_exhausted(std::function<bool()> shed) { shed_ = std::move(shed); }
   // A client whose answer is in its middle and moves to or from another process of this router.
-  // Gives the descriptor, which stays here until moved_out(), and writes what else there is to know; -1: not
-  // at this moment.
-  static int describe(core::Channel& client, hot_restart::Stream& to);
-  static void moved_out(core::Channel& client);
+  // Gives the descriptor, which stays here until migrated_out(), and writes what else there is to know; -1:
+  // not at this moment.
+  static int describe(core::ResponseWriter& client, hot_restart::Stream& to);
+  static void migrated_out(core::ResponseWriter& client);
   // go_on: puts the answer into the core, and gives its id; 0: it cannot go on, and the client sees the end.
-  void move_in(int descriptor, const hot_restart::Stream& from,
-               const std::function<core::RpcId(std::shared_ptr<core::Channel>)>& go_on);
-  std::size_t half_read() const;  // clients in the middle of a request
-  void refuse_half_read();        // a drain takes no more: they are told so, and may come again elsewhere
-  void close_idle();              // draining: no RPC will come any more on connections that have none
+  void migrate_in(int descriptor, const hot_restart::Stream& from,
+                  const std::function<core::RequestId(std::shared_ptr<core::ResponseWriter>)>& go_on);
+  std::size_t partially_read_requests() const;  // clients in the middle of a request
+  void refuse_half_read();  // a drain takes no more: they are told so, and may come again elsewhere
+  void close_idle();        // draining: no RPC will come any more on connections that have none
 
  private:
   class Connection;
@@ -59,13 +59,13 @@
   bool crowded() const;
   bool over_budget() const;
   bool wants_room() const;
-  ConnectionEviction crowd() const { return ConnectionEviction(set_.room()); }
+  ConnectionEviction crowd() const { return ConnectionEviction(settings_.room()); }
   void make_room(const ConnectionEviction& crowd);
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
-  ServerSettings set_;
+  ServerSettings settings_;
   boost::asio::ip::tcp::acceptor acceptor_;
   IdleTimer sweeper_;
   boost::asio::steady_timer again_;
--- a/src/http/stream_migration.cpp
+++ b/src/http/stream_migration.cpp
@@ -5,9 +5,10 @@
 namespace flintglade::http {
 
 void StreamMigration::out(const Offer& offer) {
-  for (const core::Broker::Running& r : broker_.running(core::Wire::http)) {
+  for (const core::Broker::MigratableStream& r : broker_.migratable_streams(core::Wire::http)) {
     hot_restart::Stream stream;
-    const Descriptors fds{HttpServer::describe(*r.channel, stream), replicas_.describe(r.call, stream)};
+    const Descriptors fds{HttpServer::describe(*r.response_writer, stream),
+                          replicas_.describe(r.call, stream)};
     if (fds[0] < 0 || fds[1] < 0) continue;
     stream.set_trace_id(r.request->trace_id);
     stream.set_klass(r.request->klass);
@@ -16,9 +17,9 @@
     stream.set_came_us(r.came);
     stream.set_last_event_us(r.last_event);
     if (!offer(stream.SerializeAsString(), fds)) return;
-    replicas_.moved_out(r.call);
-    HttpServer::moved_out(*r.channel);
-    broker_.moved_out(r);
+    replicas_.migrated_out(r.call);
+    HttpServer::migrated_out(*r.response_writer);
+    broker_.migrated_out(r);
   }
 }
 
@@ -30,8 +31,8 @@
     ::close(replica);
     return;
   }
-  core::Broker::Running r;
-  const auto request = std::make_shared<core::RpcRequest>();
+  core::Broker::MigratableStream r;
+  const auto request = std::make_shared<core::Request>();
   request->trace_id = stream.trace_id();
   request->klass = stream.klass();
   request->tenant = stream.tenant();
@@ -39,15 +40,15 @@
   r.replica = stream.replica();
   r.came = stream.came_us();
   r.last_event = stream.last_event_us();
-  front_.move_in(client, stream, [&](std::shared_ptr<core::Channel> channel) {
-    r.channel = std::move(channel);
-    return r.id = broker_.moved_in(r);
+  front_.migrate_in(client, stream, [&](std::shared_ptr<core::ResponseWriter> response_writer) {
+    r.response_writer = std::move(response_writer);
+    return r.id = broker_.migrated_in(r);
   });
   if (r.id == 0) {
     ::close(replica);
     return;
   }
-  replicas_.move_in({r.id, 0}, r.replica, replica, stream);
+  replicas_.migrate_in({r.id, 0}, r.replica, replica, stream);
 }
 
 }  // namespace flintglade::http
--- a/src/kserve/descriptions.cpp
+++ b/src/kserve/descriptions.cpp
@@ -12,22 +12,22 @@
   Entry& e = it->second;
   e.used = now;
   if (e.state == State::unknown)
-    return {now - e.learnt < set_.again ? State::unknown : State::absent, nullptr};
-  if (e.state == State::absent || now - e.learnt >= set_.ttl + set_.stale) return {};
+    return {now - e.learnt < settings_.again ? State::unknown : State::absent, nullptr};
+  if (e.state == State::absent || now - e.learnt >= settings_.ttl + settings_.stale) return {};
   return {State::known, &e.said};
 }
 
 bool Descriptions::ask(const Key& key, Micros now) {
   auto it = entries_.find(key);
   if (it == entries_.end()) {
-    if (entries_.size() >= set_.entries && !make_room()) return false;
+    if (entries_.size() >= settings_.entries && !make_room()) return false;
     it = entries_.try_emplace(key).first;
   }
   Entry& e = it->second;
   e.used = now;
-  const bool fresh = (e.state == State::known && now - e.learnt < set_.ttl) ||
-                     (e.state == State::unknown && now - e.learnt < set_.again);
-  if (e.asking || fresh || (e.tried >= 0 && now - e.tried < set_.again)) return false;
+  const bool fresh = (e.state == State::known && now - e.learnt < settings_.ttl) ||
+                     (e.state == State::unknown && now - e.learnt < settings_.again);
+  if (e.asking || fresh || (e.tried >= 0 && now - e.tried < settings_.again)) return false;
   return e.asking = true;
 }
 
--- a/src/kserve/descriptions.h
+++ b/src/kserve/descriptions.h
@@ -22,7 +22,7 @@
 class Descriptions {
  public:
   using Key = std::pair<std::string, std::string>;  // model, version ("" for none named)
-  explicit Descriptions(DescriptionSettings settings) : set_(settings) {}
+  explicit Descriptions(DescriptionSettings settings) : settings_(settings) {}
 
   enum class State { absent, known, unknown };  // unknown: replicas say that there is no such model
   struct Found {
@@ -47,7 +47,7 @@
     inference::ModelMetadataResponse said;
   };
   bool make_room();
-  DescriptionSettings set_;
+  DescriptionSettings settings_;
   std::map<Key, Entry> entries_;
 };
 
--- a/src/kserve/replica_client.cpp
+++ b/src/kserve/replica_client.cpp
@@ -56,7 +56,7 @@
 class GrpcReplicaClient::Call final : public grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer>,
                                       public std::enable_shared_from_this<Call> {
  public:
-  Call(GrpcReplicaClient& owner, core::CallId id, std::shared_ptr<const core::RpcRequest> rpc,
+  Call(GrpcReplicaClient& owner, core::AttemptId id, std::shared_ptr<const core::Request> rpc,
        Micros patience)
       : owner_(owner), io_(owner.io_), id_(id), rpc_(std::move(rpc)), dial_(owner.io_) {
     streams_ = rpc_->target == kStreamInfer;
@@ -100,7 +100,7 @@
   void OnWriteDone(bool ok) override {
     post([this, ok] {
       written_ = ok;
-      if (ok) owner_.broker_.call_written();
+      if (ok) owner_.broker_.on_attempt_written();
     });
   }
   void OnReadDone(bool ok) override {
@@ -129,7 +129,7 @@
       }
     }
     began_ = true;
-    owner_.broker_.call_events(id_, std::move(bytes));
+    owner_.broker_.on_attempt_events(id_, std::move(bytes));
     read_on();
   }
 
@@ -160,7 +160,7 @@
       outcome = Outcome::full;
     } else if (!written_) {
       outcome = Outcome::connect_failed;  // the request was never handed to a connection
-      if (owner_.set_.keys != nullptr)
+      if (owner_.settings_.keys != nullptr)
         log::event(log::Level::warn, "replica_unreachable", {{"why", status.error_message()}});
     } else if (status.error_code() == grpc::StatusCode::UNAVAILABLE) {
       outcome = Outcome::reset;
@@ -172,14 +172,14 @@
                   {"why", status.error_message()}});
     owner_.calls_.erase(id_);
     if (!began_ && status.error_code() == grpc::StatusCode::INVALID_ARGUMENT)
-      return owner_.broker_.call_rejected(id_);
-    owner_.broker_.call_ended(id_, outcome, kept);
+      return owner_.broker_.on_attempt_rejected(id_);
+    owner_.broker_.on_attempt_ended(id_, outcome, kept);
   }
 
   GrpcReplicaClient& owner_;
   boost::asio::io_context& io_;
-  core::CallId id_;
-  std::shared_ptr<const core::RpcRequest> rpc_;
+  core::AttemptId id_;
+  std::shared_ptr<const core::Request> rpc_;
   boost::asio::steady_timer dial_;
   grpc::ClientContext context_;
   std::unique_ptr<grpc::TemplatedGenericStub<grpc::ByteBuffer, grpc::ByteBuffer>> stub_;
@@ -191,10 +191,10 @@
 
 GrpcReplicaClient::GrpcReplicaClient(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
                                      ReplicaClientSettings settings)
-    : io_(io), broker_(broker), clock_(clock), set_(std::move(settings)) {}
+    : io_(io), broker_(broker), clock_(clock), settings_(std::move(settings)) {}
 GrpcReplicaClient::~GrpcReplicaClient() = default;
 
-void GrpcReplicaClient::update(const core::Endpoint& endpoint, Micros no_new_after) {
+void GrpcReplicaClient::update_endpoint(const core::Endpoint& endpoint, Micros no_new_after) {
   Subchannel& sub = subs_[endpoint.replica.id];
   if (!endpoint.address.empty() && sub.address != endpoint.address) {
     sub.address = endpoint.address;
@@ -208,8 +208,8 @@
 std::shared_ptr<grpc::Channel> GrpcReplicaClient::channel(Subchannel& sub) {
   config::HostPort at;
   if (sub.channel || !config::parse_host_port(sub.address, at)) return sub.channel;
-  if (set_.replica_port != 0) at.port = set_.replica_port;
-  return sub.channel = open_channel(at, set_);
+  if (settings_.replica_port != 0) at.port = settings_.replica_port;
+  return sub.channel = open_channel(at, settings_);
 }
 
 // Lives until it is answered.
@@ -274,21 +274,21 @@
   for (auto& [id, sub] : subs_) sub.channel.reset();
 }
 
-void GrpcReplicaClient::call(core::CallId id, core::ReplicaId replica,
-                             std::shared_ptr<const core::RpcRequest> rpc, Micros patience) {
+void GrpcReplicaClient::start_attempt(core::AttemptId id, core::ReplicaId replica,
+                                      std::shared_ptr<const core::Request> rpc, Micros patience) {
   const auto it = subs_.find(replica);
   const Micros now = clock_.now();
   if (it == subs_.end() || now >= it->second.no_new_after)
-    return broker_.call_ended(id, Outcome::connect_failed);
+    return broker_.on_attempt_ended(id, Outcome::connect_failed);
   Subchannel& sub = it->second;
   const auto open = channel(sub);
-  if (!open) return broker_.call_ended(id, Outcome::connect_failed);
+  if (!open) return broker_.on_attempt_ended(id, Outcome::connect_failed);
   const auto call = std::make_shared<Call>(*this, id, std::move(rpc), patience);
   calls_[id] = call;
-  call->start(open, std::min(set_.dial_timeout, sub.no_new_after - now));
+  call->start(open, std::min(settings_.dial_timeout, sub.no_new_after - now));
 }
 
-void GrpcReplicaClient::cancel(core::CallId id) {
+void GrpcReplicaClient::cancel_attempt(core::AttemptId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   const auto call = it->second;
@@ -296,7 +296,7 @@
   call->cancel();
 }
 
-void GrpcReplicaClient::pause(core::CallId id, bool paused) {
+void GrpcReplicaClient::pause_attempt(core::AttemptId id, bool paused) {
   const auto it = calls_.find(id);
   if (it != calls_.end()) it->second->pause(paused);
 }
--- a/src/kserve/replica_client.h
+++ b/src/kserve/replica_client.h
@@ -25,18 +25,18 @@
   std::string server_name;  // which certificates must have; empty: the replica's address
 };
 
-class GrpcReplicaClient final : public core::Subchannels {
+class GrpcReplicaClient final : public core::ReplicaClient {
  public:
   GrpcReplicaClient(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
                     ReplicaClientSettings settings);
   ~GrpcReplicaClient() override;
 
-  void update(const core::Endpoint& endpoint, core::Micros no_new_after) override;
-  void call(core::CallId id, core::ReplicaId replica, std::shared_ptr<const core::RpcRequest> rpc,
-            core::Micros patience) override;
-  void cancel(core::CallId id) override;
-  void pause(core::CallId id, bool paused) override;
-  void reload(core::Micros dial_timeout) { set_.dial_timeout = dial_timeout; }
+  void update_endpoint(const core::Endpoint& endpoint, core::Micros no_new_after) override;
+  void start_attempt(core::AttemptId id, core::ReplicaId replica, std::shared_ptr<const core::Request> rpc,
+                     core::Micros patience) override;
+  void cancel_attempt(core::AttemptId id) override;
+  void pause_attempt(core::AttemptId id, bool paused) override;
+  void reload(core::Micros dial_timeout) { settings_.dial_timeout = dial_timeout; }
   // One small question to a ready replica, and to another if it does not answer in time; each takes its turn.
   // Always answered, on the loop; UNAVAILABLE where there is no ready replica.
   using Asked = std::function<void(const grpc::Status& status, std::string answer)>;
@@ -61,9 +61,9 @@
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
-  ReplicaClientSettings set_;
+  ReplicaClientSettings settings_;
   std::unordered_map<core::ReplicaId, Subchannel> subs_;
-  std::map<core::CallId, std::shared_ptr<Call>> calls_;
+  std::map<core::AttemptId, std::shared_ptr<Call>> calls_;
   std::size_t unfinished_ = 0;
   core::ReplicaId last_asked_ = 0;
 };
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -33,17 +33,18 @@
 }  // namespace
 
 // One request of a call, and the core's channel to it. Lives on the loop.
-class GrpcServer::Exchange final : public core::Channel, public std::enable_shared_from_this<Exchange> {
+class GrpcServer::Exchange final : public core::ResponseWriter,
+                                   public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(Call& call, std::string id, std::string model)
       : call_(&call), id_(std::move(id)), model_(std::move(model)) {}
 
   // False, and one status, if the core has taken a request of this name already.
-  bool start(std::shared_ptr<const core::RpcRequest> rpc);
-  bool pass(std::string_view message) override;
+  bool start(std::shared_ptr<const core::Request> rpc);
+  bool write_events(std::string_view message) override;
   void finish() override;
-  void break_off() override { fail_with(Status(StatusCode::INTERNAL, "the answer broke off"), 0); }
-  void unavailable(Micros retry_after, bool late) override {
+  void abort_stream() override { fail_with(Status(StatusCode::INTERNAL, "the answer broke off"), 0); }
+  void reject(Micros retry_after, bool late) override {
     if (late) return fail_with(Status(StatusCode::DEADLINE_EXCEEDED, "no answer in time"), 0);
     fail_with(Status(StatusCode::UNAVAILABLE, "refused: trying again is harmless"), retry_after);
   }
@@ -62,7 +63,7 @@
   void fail_with(Status status, Micros retry_after);
   Call* call_;  // empty once it has ended
   std::string id_, model_;
-  core::RpcId rpc_ = 0;
+  core::RequestId rpc_ = 0;
   std::size_t backlog_ = 0;  // bytes that wait for the client
   bool held_up_ = false;     // until all of it is written
 };
@@ -221,7 +222,7 @@
   void take_request() {
     ++taken_;
     inference::ModelInferRequest request;
-    auto rpc = std::make_shared<core::RpcRequest>();
+    auto rpc = std::make_shared<core::Request>();
     rpc->body = std::move(*waiting_);
     waiting_.reset();
     // Bytes that are no message have no id to answer under: they end the call.
@@ -248,7 +249,7 @@
     open_.insert(exchange);
   }
 
-  std::string label(const inference::ModelInferRequest& request, const Model& model, core::RpcRequest& rpc,
+  std::string label(const inference::ModelInferRequest& request, const Model& model, core::Request& rpc,
                     std::string& denied) {
     const auto& said = context_->client_metadata();
     const Bound* bound = owner_.file_.bound.empty() ? nullptr : find_bound(owner_.file_.bound, names());
@@ -287,7 +288,7 @@
   }
 
   // The message is passed on as it came, unknown fields and all, with one field more behind it.
-  static void name_version(const std::string& version, core::RpcRequest& rpc) {
+  static void name_version(const std::string& version, core::Request& rpc) {
     if (version.empty()) return;
     inference::ModelInferRequest only;
     only.set_model_version(version);
@@ -350,11 +351,11 @@
        cancelled_ = false;
 };
 
-bool GrpcServer::Exchange::start(std::shared_ptr<const core::RpcRequest> rpc) {
-  rpc_ = call_->broker().arrived(std::move(rpc), shared_from_this());
+bool GrpcServer::Exchange::start(std::shared_ptr<const core::Request> rpc) {
+  rpc_ = call_->broker().on_request(std::move(rpc), shared_from_this());
   return rpc_ != 0;
 }
-bool GrpcServer::Exchange::pass(std::string_view message) {
+bool GrpcServer::Exchange::write_events(std::string_view message) {
   // The core may have an event in the very turn in which it learns that the client is gone. Seen under a
   // storm of cancels: the call had let go of its exchanges by then.
   if (call_ == nullptr) return true;
@@ -367,7 +368,7 @@
   backlog_ -= std::min(backlog_, bytes);
   if (!held_up_ || backlog_ > 0) return;
   held_up_ = false;
-  if (call_ != nullptr) call_->broker().writable(rpc_);
+  if (call_ != nullptr) call_->broker().on_client_writable(rpc_);
 }
 void GrpcServer::Exchange::finish() {
   if (Call* call = std::exchange(call_, nullptr)) call->done(shared_from_this());
@@ -377,7 +378,7 @@
     call->failed(shared_from_this(), id_, model_, std::move(status), retry_after);
 }
 void GrpcServer::Exchange::drop() {
-  if (Call* call = std::exchange(call_, nullptr)) call->broker().client_gone(rpc_);
+  if (Call* call = std::exchange(call_, nullptr)) call->broker().on_client_disconnected(rpc_);
 }
 
 class GrpcServer::Infer final : public grpc::CallbackGenericService {
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -42,7 +42,7 @@
 }
 
 Swim::Swim(Settings settings, Self self, std::uint64_t seed)
-    : set_(std::move(settings)), self_(std::move(self)), random_(seed) {}
+    : settings_(std::move(settings)), self_(std::move(self)), random_(seed) {}
 
 Peer Swim::self() const {
   return {self_.name,  self_.site,   self_.at,
@@ -71,7 +71,7 @@
 void Swim::start(Micros now) {
   last_tick_ = now;
   // Hundreds that start at once do not probe at once.
-  next_probe_ = now + std::uniform_int_distribution<Micros>(0, set_.period)(random_);
+  next_probe_ = now + std::uniform_int_distribution<Micros>(0, settings_.period)(random_);
   next_sync_ = now;
   spread(word_of(self()));
   tick(now);
@@ -92,7 +92,7 @@
   // A process that was stopped has heard nobody: that nobody answered says nothing about them.
   const Micros late = now - last_tick_;
   last_tick_ = now;
-  if (late > 2 * slowed(set_.period)) {
+  if (late > 2 * slowed(settings_.period)) {
     ++counters_.late_ticks;
     probe_ = {};
     well(+1);
@@ -118,7 +118,7 @@
       if (name != probe_.name && p.standing == coordination::ALIVE) helpers.push_back(&p);
     }
     std::shuffle(helpers.begin(), helpers.end(), random_);
-    if (helpers.size() > set_.helpers) helpers.resize(set_.helpers);
+    if (helpers.size() > settings_.helpers) helpers.resize(settings_.helpers);
     for (const Peer* h : helpers) {
       if (it == peers_.end()) break;
       coordination::Packet p = packet(h->name);
@@ -153,14 +153,14 @@
   }
   if (now >= next_probe_) probe(now);
   if (now >= next_sync_) {
-    next_sync_ = now + set_.sync / 2 + std::uniform_int_distribution<Micros>(0, set_.sync)(random_);
+    next_sync_ = now + settings_.sync / 2 + std::uniform_int_distribution<Micros>(0, settings_.sync)(random_);
     // One that is there; and one that seems dead or a seed, else two halves of a fleet that each took the
     // other for dead would never meet again.
     std::vector<const Peer*> there, gone;
     for (auto it = peers_.begin(); it != peers_.end();) {
       Peer& p = it->second;
       const bool dead = p.standing == coordination::DEAD || p.standing == coordination::LEFT;
-      if (dead && now - p.since > set_.forget) {
+      if (dead && now - p.since > settings_.forget) {
         rumors_.erase(it->first);
         it = peers_.erase(it);
         continue;
@@ -173,19 +173,20 @@
       return of[std::uniform_int_distribution<std::size_t>(0, of.size() - 1)(random_)];
     };
     if (there.empty()) {
-      for (const std::string& seed : set_.seeds) {
+      for (const std::string& seed : settings_.seeds) {
         if (seed != self_.at) send_all(seed, "", true);
       }
-      next_sync_ = now + set_.period + std::uniform_int_distribution<Micros>(0, set_.period)(random_);
+      next_sync_ =
+          now + settings_.period + std::uniform_int_distribution<Micros>(0, settings_.period)(random_);
     } else {
       const Peer* p = any(there);
       send_all(p->at, p->name, true);
       if (!gone.empty()) {
         const Peer* dead = any(gone);
         send_all(dead->at, dead->name, true);
-        next_sync_ = std::min(next_sync_, now + 2 * set_.period);  // a cut that has ended is soon seen
-      } else if (!set_.seeds.empty()) {
-        const std::string& seed = any(set_.seeds);
+        next_sync_ = std::min(next_sync_, now + 2 * settings_.period);  // a cut that has ended is soon seen
+      } else if (!settings_.seeds.empty()) {
+        const std::string& seed = any(settings_.seeds);
         if (seed != self_.at) send_all(seed, "", true);
       }
     }
@@ -193,7 +194,7 @@
 }
 
 void Swim::probe(Micros now) {
-  next_probe_ = now + slowed(set_.period);
+  next_probe_ = now + slowed(settings_.period);
   if (!probe_.name.empty()) end_probe(now, false);
   for (std::size_t tries = 0; tries <= peers_.size(); ++tries) {
     if (turns_.empty()) {
@@ -207,7 +208,8 @@
     if (it == peers_.end() || it->second.standing == coordination::DEAD ||
         it->second.standing == coordination::LEFT)
       continue;
-    probe_ = {name, ++numbers_, now, now + slowed(set_.timeout), now + slowed(set_.period) - 1, false, 0, 0};
+    probe_ = {name,  ++numbers_, now, now + slowed(settings_.timeout), now + slowed(settings_.period) - 1,
+              false, 0,          0};
     ++counters_.probes;
     coordination::Packet p = packet(name);
     p.mutable_ping()->set_number(probe_.number);
@@ -239,8 +241,8 @@
   peer.standing = coordination::SUSPECT;
   peer.since = now;
   changed_.insert(peer.name);
-  const double least = set_.suspicion * log_size() * static_cast<double>(set_.period);
-  suspected_[peer.name] = {by, {by}, now + slowed(static_cast<Micros>(least * set_.suspicion_most))};
+  const double least = settings_.suspicion * log_size() * static_cast<double>(settings_.period);
+  suspected_[peer.name] = {by, {by}, now + slowed(static_cast<Micros>(least * settings_.suspicion_most))};
   coordination::Word w = word_of(peer);
   w.set_by(by);
   spread(w);
@@ -256,7 +258,7 @@
     ++counters_.unreadable;
     return;
   }
-  if (p.fleet() != set_.fleet) {
+  if (p.fleet() != settings_.fleet) {
     ++counters_.other_fleet;
     return;
   }
@@ -301,7 +303,7 @@
       if (relays_.size() >= kMostRelays) break;
       coordination::Packet ping = packet(p.ping_for().name());
       ping.mutable_ping()->set_number(++numbers_);
-      relays_[numbers_] = {from, p.ping_for().number(), now + set_.timeout};
+      relays_[numbers_] = {from, p.ping_for().number(), now + settings_.timeout};
       send(p.ping_for().at(), std::move(ping), p.ping_for().name());
       break;
     }
@@ -344,7 +346,7 @@
   if (it == peers_.end()) {
     // One that nobody here has known need not be told dead.
     if (word.standing() == coordination::DEAD || word.standing() == coordination::LEFT) return;
-    if (peers_.size() >= set_.most_peers) {
+    if (peers_.size() >= settings_.most_peers) {
       ++counters_.too_many;
       return;
     }
@@ -359,8 +361,8 @@
         known == suspected_.end() || word.birth() != peer.birth || word.incarnation() != peer.incarnation ||
         word.by().empty() || !known->second.witnesses.insert(word.by()).second)
       return;
-    const double least = set_.suspicion * log_size() * static_cast<double>(set_.period),
-                 most = least * set_.suspicion_most;
+    const double least = settings_.suspicion * log_size() * static_cast<double>(settings_.period),
+                 most = least * settings_.suspicion_most;
     const double part = std::log(static_cast<double>(known->second.witnesses.size())) /
                         std::log(static_cast<double>(kWitnesses + 1));
     const double wait = std::max(least, most - (most - least) * part);
@@ -399,7 +401,7 @@
     } else if (rival_.birth != word.birth() &&
                (word.standing() == coordination::ALIVE || word.standing() == coordination::SUSPECT)) {
       // It is asked whether it lives: it may be our own last life, at another address.
-      rival_ = {word.birth(), ++numbers_, now + 3 * slowed(set_.period)};
+      rival_ = {word.birth(), ++numbers_, now + 3 * slowed(settings_.period)};
       coordination::Packet p = packet(self_.name);
       p.mutable_ping()->set_number(rival_.number);
       send(word.at(), std::move(p));
@@ -419,7 +421,7 @@
 
 coordination::Packet Swim::packet(const std::string& to_name) const {
   coordination::Packet p;
-  p.set_fleet(set_.fleet);
+  p.set_fleet(settings_.fleet);
   p.set_version(kVersion);
   p.set_from(self_.name);
   p.set_birth(self_.birth);
@@ -431,8 +433,8 @@
 
 // The words passed on least go first; one on the receiver itself before all others, so that it can refute.
 void Swim::add_words(coordination::Packet& p, const std::string& about) {
-  const int most = static_cast<int>(std::ceil(set_.retransmit * log_size()));
-  std::size_t room = set_.most_bytes - std::min(set_.most_bytes, p.ByteSizeLong() + 8);
+  const int most = static_cast<int>(std::ceil(settings_.retransmit * log_size()));
+  std::size_t room = settings_.most_bytes - std::min(settings_.most_bytes, p.ByteSizeLong() + 8);
   const auto add = [&](Rumor& r) {
     const std::size_t size = r.word.ByteSizeLong() + 4;
     if (size > room) return false;
@@ -470,7 +472,7 @@
   p.mutable_sync()->set_answer(answer);
   *p.add_words() = word_of(self());
   for (const auto& [other, peer] : peers_) {
-    if (p.ByteSizeLong() + kLongestName * 4 > set_.most_bytes) {
+    if (p.ByteSizeLong() + kLongestName * 4 > settings_.most_bytes) {
       send(at, std::move(p));
       p = packet(name);
       p.mutable_sync();
@@ -495,7 +497,7 @@
     if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) to.push_back(&p);
   }
   std::shuffle(to.begin(), to.end(), random_);
-  if (to.size() > 2 * set_.helpers) to.resize(2 * set_.helpers);
+  if (to.size() > 2 * settings_.helpers) to.resize(2 * settings_.helpers);
   for (const Peer* p : to) {
     coordination::Packet bye = packet(p->name);
     bye.mutable_sync();
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -136,7 +136,7 @@
   double log_size() const;
   Micros slowed(Micros t) const { return t * (1 + health_); }
 
-  Settings set_;
+  Settings settings_;
   Self self_;
   std::uint64_t incarnation_ = 1;
   std::mt19937_64 random_;
--- a/src/pcap/packets.h
+++ b/src/pcap/packets.h
@@ -24,7 +24,7 @@
   core::Micros at = 0;  // when its last byte was on the wire, from the file's first packet on
   Conversation conversation;
   std::string head;  // start line and fields as they were, for the record
-  core::RpcRequest rpc;
+  core::Request rpc;
 };
 
 }  // namespace flintglade::pcap
--- a/src/pcap/replay.cpp
+++ b/src/pcap/replay.cpp
@@ -12,22 +12,22 @@
 }
 
 // The client of one replayed request. Each event is written as it comes, in a segment of its own.
-class Replay::Exchange final : public core::Channel {
+class Replay::Exchange final : public core::ResponseWriter {
  public:
   Exchange(Replay& owner, const CapturedRequest& request) : owner_(owner) {
     if (!owner_.writer_) return;
     state_ = owner_.writer_->begin(request.conversation, now());
     owner_.writer_->from_client(state_, request.head + request.rpc.body, now());
   }
-  bool pass(std::string_view events) override {
+  bool write_events(std::string_view events) override {
     if (!began_) say("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n");
     began_ = true;
     say(events);
     return true;
   }
   void finish() override { end(true); }
-  void break_off() override { end(false); }
-  void unavailable(Micros retry_after, bool) override {
+  void abort_stream() override { end(false); }
+  void reject(Micros retry_after, bool) override {
     say("HTTP/1.1 503 Service Unavailable\r\nRetry-After: " +
         std::to_string(static_cast<double>(retry_after) / 1e6) + "\r\nContent-Length: 0\r\n\r\n");
     end(true);
@@ -78,8 +78,8 @@
     while (next_ < source_.requests.size() && source_.requests[next_].at <= now - started_) {
       const CapturedRequest& request = source_.requests[next_++];
       ++open_;
-      broker_.arrived(std::make_shared<core::RpcRequest>(request.rpc),
-                      std::make_shared<Exchange>(*this, request));
+      broker_.on_request(std::make_shared<core::Request>(request.rpc),
+                         std::make_shared<Exchange>(*this, request));
     }
     if (next_ == source_.requests.size()) {
       if (open_ == 0) done_();
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -88,25 +88,25 @@
 class Balancer::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed, double now)
-      : set_(within_bounds(std::move(settings))), seed_(seed) {
+      : settings_(within_bounds(std::move(settings))), seed_(seed) {
     double aims = 0.0;
-    for (const ClassSettings& c : set_.classes) {
+    for (const ClassSettings& c : settings_.classes) {
       aims += c.aim;
       longest_ = std::max(longest_, c.hard_limit);
     }
-    memory_ = std::max(kMemoryAims * aims / static_cast<double>(set_.classes.size()), 1.0);
+    memory_ = std::max(kMemoryAims * aims / static_cast<double>(settings_.classes.size()), 1.0);
     admission_.remember_for(memory_ * kRecentPart);
     past_.started = now;
     past_.widen = kFirstWiden;
     past_.saved_retries = kRetrySaved;
     past_.saved_hedges = 1.0;
     now_ = now;
-    past_.waits.resize(set_.classes.size());
-    past_.class_work.assign(set_.classes.size(), 1.0);
-    past_.quota_tokens.assign(set_.tenants.size(), 3.0);
-    past_.quota_at.assign(set_.tenants.size(), now);
-    for (const TenantSettings& t : set_.tenants) quotas_ += t.quota_per_s;
-    zone_first_ = set_.zones > 1 && set_.price_cross_zone >= kDearCrossing;
+    past_.waits.resize(settings_.classes.size());
+    past_.class_work.assign(settings_.classes.size(), 1.0);
+    past_.quota_tokens.assign(settings_.tenants.size(), 3.0);
+    past_.quota_at.assign(settings_.tenants.size(), now);
+    for (const TenantSettings& t : settings_.tenants) quotas_ += t.quota_per_s;
+    zone_first_ = settings_.zones > 1 && settings_.price_cross_zone >= kDearCrossing;
   }
 
   Impl& begin(double now, ActionSink& sink) {
@@ -122,11 +122,11 @@
       // most often one that all routers ask at once.
       subscribed_ = false;
       ask_again(std::min(0.5 * std::exp2(std::min(list_failures_++, 6)),
-                         set_.list_pushed ? kMostAgentWait : kMostAskWait));
+                         settings_.list_pushed ? kMostAgentWait : kMostAskWait));
       return;
     }
     if (change.kind == ListKind::cached) {
-      if (set_.list_on_request) ask_again(0.1);
+      if (settings_.list_on_request) ask_again(0.1);
     } else {
       subscribed_ = true;
       list_failures_ = 0;
@@ -150,7 +150,8 @@
   }
   // All but what is out: that is counted where it was sent.
   void adopt(LearnedState from) {
-    if (from.waits.size() != set_.classes.size() || from.quota_at.size() != set_.tenants.size()) return;
+    if (from.waits.size() != settings_.classes.size() || from.quota_at.size() != settings_.tenants.size())
+      return;
     from.stay.out = past_.stay.out;
     for (auto& [kind, stay] : from.kinds) stay.out = past_.kinds[kind].out;
     for (auto& [id, known] : from.replicas) {
@@ -161,7 +162,7 @@
     }
     // The slots of leavers come too, or their successors would move everybody's keys.
     for (auto [ids, table] : {std::pair(&from.slots, &all_), std::pair(&from.own_slots, &own_)}) {
-      if (set_.slots > 0) break;
+      if (settings_.slots > 0) break;
       table->slots.clear();
       for (const WorkerId id : *ids) {
         const auto [it, fresh] = index_.try_emplace(id, static_cast<int>(replicas_.size()));
@@ -204,9 +205,10 @@
       return x.born != y.born ? x.born < y.born : x.id < y.id;
     });
     size_replicas();
-    all_.update(replicas_, order, set_.slots);
-    std::erase_if(order, [this](int r) { return static_cast<int>(replicas_[r].worker.zone) != set_.zone; });
-    own_.update(replicas_, order, set_.slots);
+    all_.update(replicas_, order, settings_.slots);
+    std::erase_if(order,
+                  [this](int r) { return static_cast<int>(replicas_[r].worker.zone) != settings_.zone; });
+    own_.update(replicas_, order, settings_.slots);
     stale_ = true;
   }
 
@@ -218,7 +220,7 @@
     for (const Replica& r : replicas_) {
       if (!r.ready()) continue;
       past_.live_top[r.worker.kind] = std::max(past_.live_top[r.worker.kind], r.worker.size);
-      kinds[r.worker.kind].size += set_.weights == WeightSource::silent ? 1.0 : r.worker.size;
+      kinds[r.worker.kind].size += settings_.weights == WeightSource::silent ? 1.0 : r.worker.size;
       kinds[r.worker.kind].count += 1.0;
     }
     if (by_kind()) compare_speeds(kinds);
@@ -229,15 +231,17 @@
       const Worker& w = replicas_[i].worker;
       if (!replicas_[i].ready()) continue;
       const Kind& kind = kinds[w.kind];
-      const double told = set_.weights == WeightSource::live ? past_.live_top[w.kind] : w.size;
+      const double told = settings_.weights == WeightSource::live ? past_.live_top[w.kind] : w.size;
       sizes_[i] = by_kind() ? kind.size / kind.count * kind.speed : told;
       largest_ = std::max(largest_, sizes_[i]);
     }
-    const bool muted = set_.weights == WeightSource::rough || set_.weights == WeightSource::live;
+    const bool muted = settings_.weights == WeightSource::rough || settings_.weights == WeightSource::live;
     pulls_ = sizes_;
     for (double& pull : pulls_) pull = std::pow(pull / largest_, muted ? kMutedPower : 1.0);
   }
-  bool by_kind() const { return set_.weights == WeightSource::silent || set_.weights == WeightSource::rough; }
+  bool by_kind() const {
+    return settings_.weights == WeightSource::silent || settings_.weights == WeightSource::rough;
+  }
   struct Kind {
     double size = 0.0, count = 0.0, speed = 1.0;  // speed: for its size, as a multiple of the fleet's
   };
@@ -262,7 +266,7 @@
 
   void ask_again(double wait) {
     const double jittered = wait * (0.5 + unit(seed_ = mix(seed_, 17)));
-    sink_->set_alarm(std::max(jittered, 0.001), kListAlarm << kCookieShift);
+    sink_->set_timer(std::max(jittered, 0.001), kListAlarm << kCookieShift);
   }
 
   // ---- how long attempts stay -----------------------------------------------------------------------------
@@ -277,8 +281,8 @@
   // ---- what a replica may take ----------------------------------------------------------------------------
   double warm(const Replica& r) const {
     const double age = now_ - r.worker.born;
-    if (r.worker.born == 0.0 || age >= set_.cold_s) return 1.0;
-    return set_.cold_from + (1.0 - set_.cold_from) * age / set_.cold_s;
+    if (r.worker.born == 0.0 || age >= settings_.cold_s) return 1.0;
+    return settings_.cold_from + (1.0 - settings_.cold_from) * age / settings_.cold_s;
   }
   double health(const Replica& r) const {
     return 1.0 - (1.0 - r.health) * std::exp((r.health_at - now_) / longest_);
@@ -302,7 +306,7 @@
       n += 1.0;
       fleet_size_ += sizes_[i];
       all += sizes_[i] * warm(r);
-      if (static_cast<int>(r.worker.zone) == set_.zone && !lost(r)) own += sizes_[i] * warm(r);
+      if (static_cast<int>(r.worker.zone) == settings_.zone && !lost(r)) own += sizes_[i] * warm(r);
     }
     // After a loss, or while a release has most replicas down, arrivals are those of the larger fleet; what
     // one replica carries must not be read off the few that are left.
@@ -310,10 +314,11 @@
     mean_health_ = n > 0.0 ? healths / n : 1.0;
     ready_ = n;
     present_size_ = all;
-    own_part_ = std::min(1.0, part(own * set_.zones, all * kZoneSlack));
+    own_part_ = std::min(1.0, part(own * settings_.zones, all * kZoneSlack));
     // A zone's traffic can outgrow its replicas: what its routers, an even part of all, must be getting by
     // what this one gets, against what its replicas can do by the quotas.
-    const double demand = rate() * set_.balancers / set_.zones, can = quotas_ / kQuotaPart * part(own, all);
+    const double demand = rate() * settings_.balancers / settings_.zones,
+                 can = quotas_ / kQuotaPart * part(own, all);
     if (can > 0.0 && demand * own_part_ > kZoneSlack * can) own_part_ = kZoneSlack * can / demand;
   }
   // This router's new requests a second, in units of the mean one.
@@ -363,17 +368,17 @@
   // a replica of this size gets of this router's work when warm, times how warm it is, times a part of the
   // multiple at which it falls.
   double cold_due(const Replica& r, double size) const {  // in mean requests a second
-    return kColdPart * set_.fall_multiple * warm(r) * part(rate() * size, past_.fleet_peak);
+    return kColdPart * settings_.fall_multiple * warm(r) * part(rate() * size, past_.fleet_peak);
   }
-  bool few(const Replica& r) const { return cold_due(r, part(fleet_size_, ready_)) * set_.fall_s < 1.0; }
+  bool few(const Replica& r) const { return cold_due(r, part(fleet_size_, ready_)) * settings_.fall_s < 1.0; }
   bool cold_budget(const Request& q, int index, bool spend) {
     Replica& r = replicas_[index];
     if (warm(r) >= 1.0) return true;
     const double due = cold_due(r, sizes_[index]), work = q.work;
     // Where most replicas are cold or gone, those left draw more than their usual part of the requests.
-    const double usual = kColdPart * set_.fall_multiple * part(present_size_, past_.fleet_peak);
+    const double usual = kColdPart * settings_.fall_multiple * part(present_size_, past_.fleet_peak);
     if (!spend && few(r) && unit(mix(q.query.id, r.worker.id ^ seed_)) > usual) return false;
-    const double most = std::max(1.0, due * set_.fall_s * 0.5);
+    const double most = std::max(1.0, due * settings_.fall_s * 0.5);
     r.cold_tokens = std::min(most, r.cold_tokens + due * (now_ - r.cold_at));
     r.cold_at = now_;
     // Light requests wait for a whole token too: else the random parts that all routers begin with would go
@@ -451,9 +456,9 @@
 
   // ---- requests -------------------------------------------------------------------------------------------
   std::size_t class_index(const Request& q) const {
-    return std::min<std::size_t>(q.query.klass, set_.classes.size() - 1);
+    return std::min<std::size_t>(q.query.klass, settings_.classes.size() - 1);
   }
-  const ClassSettings& klass(const Request& q) const { return set_.classes[class_index(q)]; }
+  const ClassSettings& klass(const Request& q) const { return settings_.classes[class_index(q)]; }
   Wait& wait(const Request& q) {
     return past_.waits[std::min<std::size_t>(q.query.klass, past_.waits.size() - 1)];
   }
@@ -470,7 +475,7 @@
     q.aim = klass(q).aim + klass(q).aim_per_1000 * q.query.prompt_tokens / 1000.0;
     measure(q);
     choose_key(q);
-    sink_->set_alarm(std::max(0.0, q.query.deadline - now_), query.id);
+    sink_->set_timer(std::max(0.0, q.query.deadline - now_), query.id);
     past_.saved_retries = std::min(kRetrySaved, past_.saved_retries + kRetryRate);
     past_.saved_hedges = std::min(2.0, past_.saved_hedges + kHedgeRate);
     if (admission_.rejects(q, class_index(q), unit(mix(seed_, q.query.id)))) return refuse(q);
@@ -485,8 +490,8 @@
     q.work = std::clamp(raw / past_.raw_mean, 0.1, 10.0);
     if (!q.query.is_retry) past_.arrived.add(now_, memory_, q.work);
     q.excess = q.query.budget == Budget::over;
-    if (q.query.tenant >= set_.tenants.size() || q.query.budget != Budget::unknown) return;
-    const double quota = set_.tenants[q.query.tenant].quota_per_s / set_.balancers;
+    if (q.query.tenant >= settings_.tenants.size() || q.query.budget != Budget::unknown) return;
+    const double quota = settings_.tenants[q.query.tenant].quota_per_s / settings_.balancers;
     if (!(quota > 0.0)) return;
     double &tokens = past_.quota_tokens[q.query.tenant], &at = past_.quota_at[q.query.tenant];
     // A router sees few of a tenant's requests: a deep bucket keeps chance from looking like excess.
@@ -531,13 +536,13 @@
     bound_size(past_.prefixes, kMostPrefixes,
                [this](const auto& e) { return e.second.work.value(now_, kHotMemory * memory_) < 1.0; });
   }
-  double reach() const { return zone_first_ ? std::max(1.0, ready_ / set_.zones) : ready_; }
+  double reach() const { return zone_first_ ? std::max(1.0, ready_ / settings_.zones) : ready_; }
 
   // The next step of a request that is neither over nor bound: an attempt, a wait, or the final answer.
   void advance(Request& q) {
     // Further attempts come out of a budget: in a storm of failures they would be the larger part of it.
     const bool spent = !q.attempts.empty() && past_.saved_retries < 1.0;
-    if (now_ >= q.query.deadline || !may_send(q, klass(q), set_, now_) || spent)
+    if (now_ >= q.query.deadline || !may_send(q, klass(q), settings_, now_) || spent)
       return any_out(q) ? void() : answer(q);
     const int index = pick(q);
     if (index >= 0) {
@@ -551,7 +556,7 @@
     // A client is never kept until near its deadline on the mere hope of a replica.
     const double until = std::min(useful_until(q), q.came + kHoldPart * (q.query.deadline - q.came));
     if (now_ >= until || tried_all(q)) return answer(q);
-    sink_->set_alarm(std::max(0.005, std::min(q.aim / 10.0, until - now_)),
+    sink_->set_timer(std::max(0.005, std::min(q.aim / 10.0, until - now_)),
                      q.query.id | kHoldAlarm << kCookieShift);
   }
   bool tried_all(const Request& q) const {
@@ -569,7 +574,7 @@
     change_stays(index, [](Stay& s) { s.sends += 1.0, s.out += 1.0; });
     q.attempts.push_back(Attempt{index, now_, q.work});
     const double left = q.query.deadline - now_;
-    const bool alone = !set_.may_duplicate || klass(q).semantics == Semantics::unsafe;
+    const bool alone = !settings_.may_duplicate || klass(q).semantics == Semantics::unsafe;
     double allow = 0.0;
     // Where no second copy may run beside the first, a silent replica is given up in time for another one.
     if (alone && klass(q).semantics != Semantics::unsafe && may_retry_later(q) && calm()) {
@@ -577,12 +582,12 @@
     }
     sink_->attempt(q.query.id, replicas_[index].worker.id, allow);
     if (!alone && may_retry_later(q)) {
-      sink_->set_alarm(std::min(left, hedge_after(q)), q.query.id | kHedgeAlarm << kCookieShift);
+      sink_->set_timer(std::min(left, hedge_after(q)), q.query.id | kHedgeAlarm << kCookieShift);
     }
   }
   bool calm() const { return admission_.in_time(now_) && past_.saved_hedges >= 1.0; }
   bool may_retry_later(const Request& q) const {
-    return static_cast<int>(q.attempts.size()) < set_.most_tries;
+    return static_cast<int>(q.attempts.size()) < settings_.most_tries;
   }
   double hedge_after(const Request& q) {
     const Wait& w = wait(q);
@@ -590,7 +595,7 @@
   }
 
   void refuse(Request& q) {
-    const double wait = set_.retry_after ? std::min(set_.max_retry_after, q.aim) : 0.0;
+    const double wait = settings_.retry_after ? std::min(settings_.max_retry_after, q.aim) : 0.0;
     may_reject(q, klass(q)) ? sink_->busy(q.query.id, wait) : sink_->fail(q.query.id);
     finish(q);
   }
@@ -604,7 +609,7 @@
   void finish(Request& q) {
     q.over = true;
     for (std::size_t i = 0; i < q.attempts.size(); ++i) {
-      if (q.attempts[i].out && !q.attempts[i].started && set_.may_cancel) {
+      if (q.attempts[i].out && !q.attempts[i].started && settings_.may_cancel) {
         sink_->stop_attempt(q.query.id, static_cast<std::uint16_t>(i));
       }
     }
@@ -621,10 +626,10 @@
   // Late answers from the own zone let more of its keys cross, until a crossing costs as much as it saves,
   // and late ones from elsewhere fewer; no more cross than an even split would.
   void note_zone(int index, bool late, double step) {
-    const bool own = static_cast<int>(replicas_[index].worker.zone) == set_.zone;
-    const double price = std::min(0.5, set_.price_cross_zone);
+    const bool own = static_cast<int>(replicas_[index].worker.zone) == settings_.zone;
+    const double price = std::min(0.5, settings_.price_cross_zone);
     past_.keep += own ? (late ? -past_.keep * step : step * price / (1.0 - price)) : (late ? step : 0.0);
-    past_.keep = std::clamp(past_.keep, 1.0 / set_.zones, 1.0);
+    past_.keep = std::clamp(past_.keep, 1.0 / settings_.zones, 1.0);
   }
 
   // ---- outcomes -------------------------------------------------------------------------------------------
@@ -665,7 +670,7 @@
       Attempt& other = q->attempts[i];
       if (!other.out || other.started) continue;
       if (other.sent < t->sent) judge_wait(*q, other);  // a later copy overtook it
-      if (set_.may_cancel) sink_->stop_attempt(a.id, static_cast<std::uint16_t>(i));
+      if (settings_.may_cancel) sink_->stop_attempt(a.id, static_cast<std::uint16_t>(i));
     }
   }
 
@@ -731,8 +736,9 @@
     const std::uint64_t what = cookie >> kCookieShift;
     if (what == kListAlarm) {
       if (subscribed_) return;
-      sink_->observe(true);
-      return ask_again((set_.must_ask_in > 0.0 ? set_.must_ask_in : 10.0) * 1.5);  // should no answer come
+      sink_->subscribe(true);
+      return ask_again((settings_.must_ask_in > 0.0 ? settings_.must_ask_in : 10.0) *
+                       1.5);  // should no answer come
     }
     const auto it = requests_.find(cookie & ((std::uint64_t{1} << kCookieShift) - 1));
     if (it == requests_.end() || it->second.over || it->second.bound) return;
@@ -749,7 +755,7 @@
     } else if (what == kHoldAlarm) {
       if (!any_out(q)) advance(q);
     } else if (now_ < q.query.deadline - 1e-6) {
-      sink_->set_alarm(q.query.deadline - now_, cookie);  // woken early: ask again
+      sink_->set_timer(q.query.deadline - now_, cookie);  // woken early: ask again
     } else {
       // Each request gets its final answer by its own deadline, whatever its attempts do.
       answer(q);
@@ -757,7 +763,7 @@
   }
 
  private:
-  Settings set_;
+  Settings settings_;
   std::uint64_t seed_;
   double now_ = 0.0;
   double longest_ = 0.0, memory_ = 1.0;
@@ -766,7 +772,7 @@
   std::map<WorkerId, int> index_;
   std::vector<double> sizes_, pulls_;
   LearnedState past_;
-  Admission admission_{set_, past_};
+  Admission admission_{settings_, past_};
   double sized_ = 0.0, largest_ = 0.0, quotas_ = 0.0;
   SlotTable all_, own_;
   bool zone_first_ = false, subscribed_ = false, stale_ = true;
--- a/src/shared/health_gossip.cpp
+++ b/src/shared/health_gossip.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint32_t kMostInARow = 1000;
 }  // namespace
 
-void HealthObserver::call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) {
+void HealthObserver::on_attempt_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome) {
   using policy::Outcome;
   if (outcome == Outcome::ok) return first_event(now, replica);
   // A refusal says that it is full, and what we gave up ourselves says nothing.
@@ -32,7 +32,7 @@
 }
 
 void HealthObserver::prune(Micros now) {
-  std::erase_if(known_, [&](const auto& k) { return now - k.second.at > set_.keep; });
+  std::erase_if(known_, [&](const auto& k) { return now - k.second.at > settings_.keep; });
   if (known_.size() >= kMostKnown) known_.clear();
 }
 
@@ -40,7 +40,7 @@
   std::vector<coordination::Case> out;
   for (const auto& [replica, k] : known_) {
     const bool bad = k.failed >= kBadFrom;
-    if (now - k.at > set_.keep || (!bad && (!k.was_bad || k.failed > 0))) continue;
+    if (now - k.at > settings_.keep || (!bad && (!k.was_bad || k.failed > 0))) continue;
     coordination::Case& c = out.emplace_back();
     c.set_replica(replica);
     c.set_bad(bad);
@@ -49,7 +49,7 @@
   }
   // Beyond the bound, the older words go first.
   std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.age_us() < b.age_us(); });
-  if (out.size() > set_.most_cases) out.resize(set_.most_cases);
+  if (out.size() > settings_.most_cases) out.resize(settings_.most_cases);
   return out;
 }
 
@@ -95,10 +95,10 @@
                                                          const std::set<core::ReplicaId>& ready,
                                                          const HealthObserver& own, std::size_t routers,
                                                          std::size_t sites) const {
-  if (!set_.hearsay) return {};
+  if (!settings_.hearsay) return {};
   // In a fleet of few there may not be so many others; two are needed even so.
   const std::size_t others = routers > 0 ? routers - 1 : 0;
-  const std::size_t need = std::max<std::size_t>(2, std::min<std::size_t>(set_.witnesses, others));
+  const std::size_t need = std::max<std::size_t>(2, std::min<std::size_t>(settings_.witnesses, others));
   std::vector<ReplicaHealthSummary> heard;
   for (const ReplicaHealthSummary& o : opinions) {
     if (ready.count(o.replica) == 0 || o.bad < need || o.bad <= o.good) continue;
@@ -111,10 +111,10 @@
   std::sort(heard.begin(), heard.end(), [](const ReplicaHealthSummary& a, const ReplicaHealthSummary& b) {
     return a.bad != b.bad ? a.bad > b.bad : a.replica < b.replica;
   });
-  const auto most = static_cast<std::size_t>(set_.most_part * static_cast<double>(ready.size()));
+  const auto most = static_cast<std::size_t>(settings_.most_part * static_cast<double>(ready.size()));
   if (heard.size() > most) heard.resize(most);
   std::vector<Warning> out;
-  for (const ReplicaHealthSummary& o : heard) out.push_back({o.replica, set_.keep - o.age});
+  for (const ReplicaHealthSummary& o : heard) out.push_back({o.replica, settings_.keep - o.age});
   return out;
 }
 
--- a/src/shared/health_gossip.h
+++ b/src/shared/health_gossip.h
@@ -24,8 +24,8 @@
 
 class HealthObserver {
  public:
-  explicit HealthObserver(const Settings& settings) : set_(settings) {}
-  void call_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome);
+  explicit HealthObserver(const Settings& settings) : settings_(settings) {}
+  void on_attempt_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome);
   void first_event(Micros now, core::ReplicaId replica);  // it serves
   // What to tell: replicas that fail now, and those that have lately begun to serve again.
   std::vector<coordination::Case> cases(Micros now) const;
@@ -41,7 +41,7 @@
     bool was_bad = false;
   };
   void prune(Micros now);
-  Settings set_;
+  Settings settings_;
   std::map<core::ReplicaId, Known> known_;
   bool changed_ = false;
 };
@@ -58,7 +58,7 @@
 
 class EjectionPolicy {
  public:
-  explicit EjectionPolicy(const Settings& settings) : set_(settings) {}
+  explicit EjectionPolicy(const Settings& settings) : settings_(settings) {}
   struct Warning {
     core::ReplicaId replica = 0;
     Micros span = 0;  // from now on
@@ -70,7 +70,7 @@
                            std::size_t routers, std::size_t sites) const;
 
  private:
-  Settings set_;
+  Settings settings_;
 };
 
 }  // namespace flintglade::shared
--- a/src/shared/replicated_counter.cpp
+++ b/src/shared/replicated_counter.cpp
@@ -30,7 +30,7 @@
 
 ReplicatedCounter::ReplicatedCounter(const Settings& settings, std::string name, std::uint64_t birth,
                                      std::string site)
-    : set_(settings), self_(std::move(name), birth), site_(std::move(site)), rows_(settings.most_rows) {}
+    : settings_(settings), self_(std::move(name), birth), site_(std::move(site)), rows_(settings.most_rows) {}
 
 bool ReplicatedCounter::seal(Micros now, const Counts& counts) {
   const auto same = [](const coordination::Count& a, const coordination::Count& b) {
@@ -65,7 +65,7 @@
   // Beyond the bound all others count as one.
   coordination::Count rest;
   for (const auto& [key, count] : sum) {
-    if (static_cast<std::size_t>(row.counts_size()) + 1 >= set_.most_counts) {
+    if (static_cast<std::size_t>(row.counts_size()) + 1 >= settings_.most_counts) {
       add(rest, count);
       continue;
     }
@@ -74,7 +74,7 @@
     c.set_team(key.first);
     c.set_klass(key.second);
   }
-  if (sum.size() >= set_.most_counts) *row.add_counts() = rest;
+  if (sum.size() >= settings_.most_counts) *row.add_counts() = rest;
   rows_.take(now, std::move(row), 0, 0);
   return true;
 }
@@ -82,7 +82,7 @@
 bool ReplicatedCounter::sane(const coordination::Row& row) const {
   if (row.name().empty() || row.name().size() > kMostName || row.site().size() > kMostName ||
       row.version() == 0 || row.version() > kMostCount || row.birth() == 0 || row.age_us() < 0 ||
-      static_cast<std::size_t>(row.counts_size()) > set_.most_counts ||
+      static_cast<std::size_t>(row.counts_size()) > settings_.most_counts ||
       static_cast<std::size_t>(row.folded_size()) > kMostEarlier)
     return false;
   for (const coordination::Count& c : row.counts()) {
@@ -149,8 +149,8 @@
                             took_in(later.entry, life.second));
     const auto over = ended_.find(life);
     const Micros age = std::max<Micros>(0, (over == ended_.end() ? now : over->second) - h.sealed);
-    const Micros unknown = age + set_.most_delay + kUnsealed;
-    const auto most = static_cast<std::uint64_t>(set_.most_per_s * static_cast<double>(unknown) / 1e6);
+    const Micros unknown = age + settings_.most_delay + kUnsealed;
+    const auto most = static_cast<std::uint64_t>(settings_.most_per_s * static_cast<double>(unknown) / 1e6);
     for (const coordination::Count& c : h.entry.counts()) {
       Total& t = out[{c.team(), c.klass(), h.entry.site()}];
       if (!counted) add(t.count, c);
--- a/src/shared/replicated_counter.h
+++ b/src/shared/replicated_counter.h
@@ -99,7 +99,7 @@
   bool sane(const coordination::Row& row) const;
   void take_in(coordination::Row row);
 
-  Settings set_;
+  Settings settings_;
   Life self_;
   std::string site_;
   VersionedTable<coordination::Row> rows_;
