--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -23,14 +23,14 @@
 }  // namespace
 
 SharedState::SharedState(Settings settings, Ports ports, const membership::Self& self, std::uint64_t seed)
-    : set_(std::move(settings)),
+    : settings_(std::move(settings)),
       ports_(std::move(ports)),
       self_(self.name, self.birth),
       site_(self.site),
       random_(seed),
-      quota_allocator_(set_.budgets),
-      counter_(set_, self.name, self.birth, self.site),
-      seen_(set_.most_rows) {}
+      quota_allocator_(settings_.budgets),
+      counter_(settings_, self.name, self.birth, self.site),
+      seen_(settings_.most_rows) {}
 
 // ---- what this router has to say
 
@@ -74,7 +74,7 @@
 }
 
 void SharedState::counted(Micros now, const ReplicatedCounter::Counts& counts) {
-  if (set_.counts && counter_.seal(now, counts)) counter_.rows().all()[self_].passes = 4;
+  if (settings_.counts && counter_.seal(now, counts)) counter_.rows().all()[self_].passes = 4;
 }
 
 void SharedState::saw(Micros now, std::vector<coordination::Case> cases) {
@@ -93,7 +93,7 @@
 bool SharedState::sane(const coordination::Seen& seen) const {
   if (seen.name().empty() || seen.name().size() > kMostName || seen.site().size() > kMostName ||
       seen.version() == 0 || seen.version() > kMostVersion || seen.birth() == 0 || seen.age_us() < 0 ||
-      seen.age_us() > kMostAge || static_cast<std::size_t>(seen.cases_size()) > set_.most_cases)
+      seen.age_us() > kMostAge || static_cast<std::size_t>(seen.cases_size()) > settings_.most_cases)
     return false;
   return std::all_of(seen.cases().begin(), seen.cases().end(),
                      [](const coordination::Case& c) { return c.age_us() >= 0 && c.age_us() <= kMostAge; });
@@ -227,7 +227,7 @@
     if (theirs >= h.entry.version()) continue;
     const std::size_t size = h.entry.ByteSizeLong() + 16;
     if (size > kMostRow) continue;
-    if (bytes > 0 && bytes + size > set_.most_bytes) {
+    if (bytes > 0 && bytes + size > settings_.most_bytes) {
       if (out.size() == kMostPackets) break;
       out.emplace_back();
       bytes = 0;
@@ -278,7 +278,7 @@
   const auto add = [&](auto& heard, auto adder) {
     for (auto& [life, h] : heard.all()) {
       const std::size_t size = h.entry.ByteSizeLong() + 16;
-      if (h.passes <= 0 || size > kMostRow || (bytes > 0 && bytes + size > set_.most_bytes)) continue;
+      if (h.passes <= 0 || size > kMostRow || (bytes > 0 && bytes + size > settings_.most_bytes)) continue;
       bytes += size;
       --h.passes;
       adder(h);
@@ -292,7 +292,7 @@
   });
   if (!s.has_news() || others.empty()) return;
   std::vector<const membership::Peer*> to;
-  std::sample(others.begin(), others.end(), std::back_inserter(to), set_.fan_out, random_);
+  std::sample(others.begin(), others.end(), std::back_inserter(to), settings_.fan_out, random_);
   for (const membership::Peer* p : to) share(now, agent, p->name, s);
 }
 
@@ -321,9 +321,10 @@
 }
 
 void SharedState::tell_opinions(Micros now, const coordination::CoordinationProtocol& agent) {
-  std::erase_if(seen_.all(),
-                [&](const auto& h) { return h.first != self_ && now - h.second.sealed > 4 * set_.keep; });
-  health_summaries_ = weigh(now, set_, seen_, self_.first);
+  std::erase_if(seen_.all(), [&](const auto& h) {
+    return h.first != self_ && now - h.second.sealed > 4 * settings_.keep;
+  });
+  health_summaries_ = weigh(now, settings_, seen_, self_.first);
   std::set<std::string> sites{site_};
   std::size_t routers = 1;
   for (const membership::Peer* p : living(agent)) {
@@ -336,13 +337,13 @@
 
 void SharedState::tick(Micros now, coordination::CoordinationProtocol& agent) {
   if (now >= next_gossip_) {
-    next_gossip_ = now + set_.gossip;
+    next_gossip_ = now + settings_.gossip;
     gossip(now, agent);
   }
   if (now >= next_compare_) {
-    next_compare_ =
-        now + set_.compare / 2 + static_cast<Micros>(random_() % static_cast<std::uint64_t>(set_.compare));
-    if (set_.counts) compare(now, agent);
+    next_compare_ = now + settings_.compare / 2 +
+                    static_cast<Micros>(random_() % static_cast<std::uint64_t>(settings_.compare));
+    if (settings_.counts) compare(now, agent);
   }
   if (now >= next_opinions_) tell_opinions(now, agent);
   if (now >= next_bank_) {
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -79,7 +79,7 @@
     return quota_allocator_.open() && agent.proved(now, kQuotaAllocatorLease);
   }
 
-  Settings set_;
+  Settings settings_;
   Ports ports_;
   Life self_;
   std::string site_;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -274,13 +274,13 @@
   put(bytes_, attempt);
 }
 
-void ReplyWriter::set_alarm(double span, std::uint64_t cookie) {
+void ReplyWriter::set_timer(double span, std::uint64_t cookie) {
   begin(69, 16);
   put(bytes_, span);
   put(bytes_, cookie);
 }
 
-void ReplyWriter::observe(bool on) {
+void ReplyWriter::subscribe(bool on) {
   begin(75, 1);
   put(bytes_, static_cast<std::uint8_t>(on ? 1 : 0));
 }
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -68,8 +68,8 @@
   void busy(RequestId id, double not_before_for) override;
   void fail(RequestId id) override;
   void stop_attempt(RequestId id, std::uint16_t attempt) override;
-  void set_alarm(double span, std::uint64_t cookie) override;
-  void observe(bool on) override;
+  void set_timer(double span, std::uint64_t cookie) override;
+  void subscribe(bool on) override;
   void bail_out(std::string_view text);
   const std::string& finish();  // the whole frame, header first; valid until clear()
   void clear();
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -12,7 +12,7 @@
 namespace flintglade::policy::testing_support {
 
 struct Action {
-  enum Kind { attempt, busy, fail, stop, alarm, observe } kind;
+  enum Kind { attempt, busy, fail, stop, alarm, subscribe } kind;
   RequestId id = 0;
   WorkerId worker = 0;
   double span = 0.0;
@@ -30,11 +30,11 @@
   void busy(RequestId id, double after) override { add({Action::busy, id, 0, after, 0}); }
   void fail(RequestId id) override { add({Action::fail, id, 0, 0, 0}); }
   void stop_attempt(RequestId id, std::uint16_t n) override { add({Action::stop, id, 0, 0, n}); }
-  void set_alarm(double span, std::uint64_t cookie) override {
+  void set_timer(double span, std::uint64_t cookie) override {
     alarms.emplace(now + span, cookie);
     add({Action::alarm, 0, 0, span, cookie});
   }
-  void observe(bool) override { add({Action::observe, 0, 0, 0, 0}); }
+  void subscribe(bool) override { add({Action::subscribe, 0, 0, 0, 0}); }
 
   void list(ListKind kind, std::vector<Worker> workers) {
     b.on_list(now, {kind, 1, std::move(workers)}, *this);
--- a/tests/core/broker_recording_test.cpp
+++ b/tests/core/broker_recording_test.cpp
@@ -144,17 +144,17 @@
 
 class SimulatedRouter;
 
-class RecordedChannel final : public Channel {
+class RecordedResponseWriter final : public ResponseWriter {
  public:
-  RecordedChannel(std::uint64_t client, SimulatedRouter& router) : client_(client), router_(&router) {}
-  void moves_to(SimulatedRouter& router, RpcId id) {
+  RecordedResponseWriter(std::uint64_t client, SimulatedRouter& router) : client_(client), router_(&router) {}
+  void moves_to(SimulatedRouter& router, RequestId id) {
     router_ = &router;
     id_ = id;
   }
-  bool pass(std::string_view events) override;
+  bool write_events(std::string_view events) override;
   void finish() override { note(TurnLog::kFinish, {}); }
-  void break_off() override { note(TurnLog::kBreakOff, {}); }
-  void unavailable(Micros retry_after, bool late) override {
+  void abort_stream() override { note(TurnLog::kBreakOff, {}); }
+  void reject(Micros retry_after, bool late) override {
     note(TurnLog::kUnavailable, {word(retry_after), late});
   }
   void fail(Failure why) override { note(TurnLog::kFail, {static_cast<std::uint64_t>(why)}); }
@@ -164,42 +164,43 @@
 
   std::uint64_t client_;
   SimulatedRouter* router_;
-  RpcId id_ = 0;
+  RequestId id_ = 0;
 };
 
-class RecordedSubchannels final : public Subchannels {
+class RecordedReplicaClient final : public ReplicaClient {
  public:
-  RecordedSubchannels(Wire wire, SimulatedRouter& router) : wire_(wire), router_(router) {}
-  void update(const Endpoint& endpoint, Micros no_new_after) override;
-  void call(CallId id, ReplicaId replica, std::shared_ptr<const RpcRequest> rpc, Micros patience) override;
-  void cancel(CallId id) override;
-  void pause(CallId id, bool paused) override;
+  RecordedReplicaClient(Wire wire, SimulatedRouter& router) : wire_(wire), router_(router) {}
+  void update_endpoint(const Endpoint& endpoint, Micros no_new_after) override;
+  void start_attempt(AttemptId id, ReplicaId replica, std::shared_ptr<const Request> rpc,
+                     Micros patience) override;
+  void cancel_attempt(AttemptId id) override;
+  void pause_attempt(AttemptId id, bool paused) override;
 
  private:
   Wire wire_;
   SimulatedRouter& router_;
 };
 
-class RecordedSharing final : public Sharing {
+class RecordedSharing final : public SharedStatePort {
  public:
   RecordedSharing(TurnLog& log, SeededRandom& random) : log_(log), random_(random) {}
-  Word arrived(Micros now, const RpcRequest& rpc) override {
-    constexpr Standing kStandings[] = {Standing::unknown, Standing::unknown, Standing::within,
-                                       Standing::within,  Standing::within,  Standing::over,
-                                       Standing::over,    Standing::refused};
-    Word answer;
-    answer.standing = kStandings[random_.below(std::size(kStandings))];
-    answer.again = static_cast<Micros>(random_.below(2 * kSecond));
+  QuotaDecision check_quota(Micros now, const Request& rpc) override {
+    constexpr QuotaStatus kQuotaStatuses[] = {QuotaStatus::unknown, QuotaStatus::unknown, QuotaStatus::within,
+                                              QuotaStatus::within,  QuotaStatus::within,  QuotaStatus::over,
+                                              QuotaStatus::over,    QuotaStatus::refused};
+    QuotaDecision answer;
+    answer.status = kQuotaStatuses[random_.below(std::size(kQuotaStatuses))];
+    answer.retry_after = static_cast<Micros>(random_.below(2 * kSecond));
     log_.note(TurnLog::kShareArrived, hash_of(rpc.trace_id), {word(now)});
     return answer;
   }
-  void answered(const RpcRequest& rpc, End how) override {
-    log_.note(TurnLog::kShareAnswered, hash_of(rpc.trace_id), {static_cast<std::uint64_t>(how)});
+  void on_request_finished(const Request& rpc, RequestOutcome outcome) override {
+    log_.note(TurnLog::kShareAnswered, hash_of(rpc.trace_id), {static_cast<std::uint64_t>(outcome)});
   }
-  void first_event(Micros now, ReplicaId replica) override {
+  void on_first_event(Micros now, ReplicaId replica) override {
     log_.note(TurnLog::kShareFirstEvent, replica, {word(now)});
   }
-  void call_ended(Micros now, ReplicaId replica, Outcome outcome) override {
+  void on_attempt_ended(Micros now, ReplicaId replica, Outcome outcome) override {
     // Subject: replica and outcome, as calls to one replica may end in any order in a drain.
     log_.note(TurnLog::kShareCallEnded, replica * 16 + static_cast<std::uint64_t>(outcome), {word(now)});
   }
@@ -232,14 +233,14 @@
     past_.push_back(endpoints_);
     ++version_;
   }
-  ListNews tell() {
+  EndpointListUpdate tell() {
     constexpr ListKind kKinds[] = {ListKind::delta, ListKind::delta,  ListKind::delta,
                                    ListKind::full,  ListKind::full,   ListKind::full,
                                    ListKind::full,  ListKind::cached, ListKind::failed};
     return tell(kKinds[random_.below(std::size(kKinds))]);
   }
-  ListNews tell(ListKind kind) {
-    ListNews news;
+  EndpointListUpdate tell(ListKind kind) {
+    EndpointListUpdate news;
     news.kind = kind;
     if (kind == ListKind::failed) return news;
     const std::uint32_t back = old_lists_ && version_ > 1 && random_.one_in(3) ? draw_age() : 0;
@@ -295,27 +296,27 @@
 
 // What the surroundings of one Broker will do, and when.
 struct Scheduled {
-  enum class What { events, ended, rejected, written, client_gone, writable, list };
+  enum class What { events, ended, rejected, written, on_client_disconnected, writable, list };
   Micros at = 0;
   What what = What::events;
-  CallId call;  // of client_gone and writable: the request alone
+  AttemptId call;  // of on_client_disconnected and writable: the request alone
   Outcome outcome = Outcome::ok;
   std::string bytes;
 };
 
-class SimulatedRouter final : private Clock, private ReplicaList {
+class SimulatedRouter final : private Clock, private EndpointList {
  public:
   SimulatedRouter(const RecordingCase& recording, std::uint64_t seed, Micros start,
                   SimulatedDiscovery& discovery)
       : time_(start),
         random_(seed),
         discovery_(discovery),
-        sharing_(log_, random_),
+        shared_state_(log_, random_),
         broker_(recording.settings(), recording.module(), seed, *this, *this) {
     broker_.attach(Wire::http, http_);
     broker_.attach(Wire::kserve, kserve_);
     broker_.trace([this](const Trace& trace) { note(trace); });
-    if (recording.shares) broker_.share(&sharing_);
+    if (recording.shares) broker_.share(&shared_state_);
   }
 
   // ---- for the ports ----
@@ -325,10 +326,10 @@
     event.at = time_ + in;
     scheduled_.push_back(std::move(event));
   }
-  void plan(CallId id, const RpcRequest& rpc, Micros patience);
+  void plan(AttemptId id, const Request& rpc, Micros patience);
   // A few late words come all the same. Which is not drawn, as calls may be cancelled in any order in a
   // drain.
-  void forget(CallId id) {
+  void forget(AttemptId id) {
     std::erase_if(scheduled_, [id](const Scheduled& event) {
       return of_call(event) && event.call == id && event.at % kOneWordLate != 0;
     });
@@ -340,48 +341,48 @@
   std::uint64_t hash() const { return hash_.value(); }
   std::uint64_t clients() const { return clients_; }
   void number_clients_from(std::uint64_t last) { clients_ = last; }
-  void gather_list(ListKind kind) { broker_.list_news(discovery_.tell(kind)); }
+  void gather_list(ListKind kind) { broker_.on_endpoint_list_update(discovery_.tell(kind)); }
   void pass_time();
   void gather_requests(std::uint64_t percent);
   void gather_rare_events();
-  void turn();
+  void run_iteration();
   void move_answers_to(SimulatedRouter& successor);
-  Broker::Handed hand();
+  Broker::ProcessSnapshot snapshot();
 
  private:
   Micros now() override { return time_; }
-  void observe(bool on) override;
+  void subscribe(bool on) override;
   static bool of_call(const Scheduled& event) {
-    return event.what != Scheduled::What::client_gone && event.what != Scheduled::What::writable &&
+    return event.what != Scheduled::What::on_client_disconnected && event.what != Scheduled::What::writable &&
            event.what != Scheduled::What::list;
   }
   void note(const Trace& trace);
   void gather_due();
   void gather(Scheduled& event);
-  std::shared_ptr<RpcRequest> draw_request();
-  void plan_answer(CallId id, Micros wait);
+  std::shared_ptr<Request> draw_request();
+  void plan_answer(AttemptId id, Micros wait);
   Outcome draw_fault();
   void look();
   void look_at_running(Wire wire);
-  std::vector<Broker::Running> running(Wire wire) const;
+  std::vector<Broker::MigratableStream> migratable_streams(Wire wire) const;
 
   Micros time_;
   SeededRandom random_;
   SimulatedDiscovery& discovery_;
   TurnLog log_;
   RecordingHash hash_;
-  RecordedSubchannels http_{Wire::http, *this}, kserve_{Wire::kserve, *this};
-  RecordedSharing sharing_;
+  RecordedReplicaClient http_{Wire::http, *this}, kserve_{Wire::kserve, *this};
+  RecordedSharing shared_state_;
   std::vector<Scheduled> scheduled_;
-  std::map<RpcId, std::shared_ptr<RecordedChannel>> channels_;
+  std::map<RequestId, std::shared_ptr<RecordedResponseWriter>> channels_;
   std::uint64_t clients_ = 0, turns_ = 0;
   Broker broker_;
 };
 
-void RecordedChannel::note(TurnLog::Tag tag, std::vector<std::uint64_t> words) {
+void RecordedResponseWriter::note(TurnLog::Tag tag, std::vector<std::uint64_t> words) {
   router_->log().note(tag, client_, std::move(words));
 }
-bool RecordedChannel::pass(std::string_view events) {
+bool RecordedResponseWriter::write_events(std::string_view events) {
   note(TurnLog::kPass, {hash_of(events)});
   if (!router_->random().one_in(30)) return true;
   Scheduled event;
@@ -391,28 +392,28 @@
   return false;
 }
 
-void RecordedSubchannels::update(const Endpoint& endpoint, Micros no_new_after) {
+void RecordedReplicaClient::update_endpoint(const Endpoint& endpoint, Micros no_new_after) {
   const policy::Worker& replica = endpoint.replica;
   router_.log().note(TurnLog::kUpdate, replica.id,
                      {static_cast<std::uint64_t>(wire_), static_cast<std::uint64_t>(replica.health),
                       hash_of(endpoint.address), word(no_new_after)});
 }
-void RecordedSubchannels::call(CallId id, ReplicaId replica, std::shared_ptr<const RpcRequest> rpc,
-                               Micros patience) {
+void RecordedReplicaClient::start_attempt(AttemptId id, ReplicaId replica, std::shared_ptr<const Request> rpc,
+                                          Micros patience) {
   router_.log().note(TurnLog::kCall, id.rpc,
                      {id.attempt, static_cast<std::uint64_t>(wire_), replica, word(patience),
                       hash_of(rpc->trace_id), rpc->bytes()});
   router_.plan(id, *rpc, patience);
 }
-void RecordedSubchannels::cancel(CallId id) {
+void RecordedReplicaClient::cancel_attempt(AttemptId id) {
   router_.log().note(TurnLog::kCancel, id.rpc, {id.attempt, static_cast<std::uint64_t>(wire_)});
   router_.forget(id);
 }
-void RecordedSubchannels::pause(CallId id, bool paused) {
+void RecordedReplicaClient::pause_attempt(AttemptId id, bool paused) {
   router_.log().note(TurnLog::kPause, id.rpc, {id.attempt, static_cast<std::uint64_t>(wire_), paused});
 }
 
-void SimulatedRouter::observe(bool on) {
+void SimulatedRouter::subscribe(bool on) {
   log_.note(TurnLog::kObserve, 0, {on});
   Scheduled event;
   event.what = Scheduled::What::list;
@@ -427,7 +428,7 @@
 }
 
 // What becomes of a call: an answer, a fault, silence, or a stream that stops in its middle.
-void SimulatedRouter::plan(CallId id, const RpcRequest& rpc, Micros patience) {
+void SimulatedRouter::plan(AttemptId id, const Request& rpc, Micros patience) {
   Scheduled event;
   event.call = id;
   if (random_.percent(90)) {
@@ -439,7 +440,7 @@
   const std::uint64_t roll = random_.below(100);
   if (roll < 3) return;  // silent
   if (roll < 6) {        // at once, from within the call
-    return broker_.call_ended(id, Outcome::connect_failed);
+    return broker_.on_attempt_ended(id, Outcome::connect_failed);
   }
   event.what = Scheduled::What::ended;
   if (roll < 20) {
@@ -453,7 +454,7 @@
   if (rpc.may_be_empty) return schedule(wait, event);
   plan_answer(id, wait);
 }
-void SimulatedRouter::plan_answer(CallId id, Micros wait) {
+void SimulatedRouter::plan_answer(AttemptId id, Micros wait) {
   Scheduled event;
   event.call = id;
   event.what = Scheduled::What::events;
@@ -478,7 +479,7 @@
 
 void SimulatedRouter::pass_time() {
   const Micros at = time_ + static_cast<Micros>(random_.below(kLongestTurn));
-  const Micros alarm = broker_.next_alarm();
+  const Micros alarm = broker_.next_timer();
   // Half of the turns come exactly when the Broker asked for them, if that is soon.
   time_ = random_.one_in(2) && alarm > time_ && alarm < at ? alarm : at;
   gather_due();
@@ -496,41 +497,41 @@
 void SimulatedRouter::gather(Scheduled& event) {
   switch (event.what) {
     case Scheduled::What::events:
-      return broker_.call_events(event.call, std::move(event.bytes));
+      return broker_.on_attempt_events(event.call, std::move(event.bytes));
     case Scheduled::What::ended: {
       const auto kept = static_cast<std::uint32_t>(random_.below(800));
-      return broker_.call_ended(event.call, event.outcome, kept, {1.0F, 2.0F});
+      return broker_.on_attempt_ended(event.call, event.outcome, kept, {1.0F, 2.0F});
     }
     case Scheduled::What::rejected:
-      return broker_.call_rejected(event.call);
+      return broker_.on_attempt_rejected(event.call);
     case Scheduled::What::written:
-      return broker_.call_written();
-    case Scheduled::What::client_gone:
-      return broker_.client_gone(event.call.rpc);
+      return broker_.on_attempt_written();
+    case Scheduled::What::on_client_disconnected:
+      return broker_.on_client_disconnected(event.call.rpc);
     case Scheduled::What::writable:
-      return broker_.writable(event.call.rpc);
+      return broker_.on_client_writable(event.call.rpc);
     case Scheduled::What::list:
-      return broker_.list_news(discovery_.tell());
+      return broker_.on_endpoint_list_update(discovery_.tell());
   }
 }
 
 void SimulatedRouter::gather_requests(std::uint64_t percent) {
   while (random_.percent(percent)) {
-    const std::shared_ptr<RpcRequest> request = draw_request();
-    const auto channel = std::make_shared<RecordedChannel>(++clients_, *this);
-    const RpcId id = broker_.arrived(request, channel);
+    const std::shared_ptr<Request> request = draw_request();
+    const auto response_writer = std::make_shared<RecordedResponseWriter>(++clients_, *this);
+    const RequestId id = broker_.on_request(request, response_writer);
     hash_.add(id);
     if (id == 0) continue;
-    channel->moves_to(*this, id);
-    channels_[id] = channel;
+    response_writer->moves_to(*this, id);
+    channels_[id] = response_writer;
     Scheduled event;
-    event.what = Scheduled::What::client_gone;
+    event.what = Scheduled::What::on_client_disconnected;
     event.call.rpc = id;
     if (random_.one_in(8)) schedule(static_cast<Micros>(random_.below(2 * kSecond)), event);
   }
 }
-std::shared_ptr<RpcRequest> SimulatedRouter::draw_request() {
-  auto request = std::make_shared<RpcRequest>();
+std::shared_ptr<Request> SimulatedRouter::draw_request() {
+  auto request = std::make_shared<Request>();
   request->wire = random_.one_in(3) ? Wire::kserve : Wire::http;
   request->klass = static_cast<std::uint32_t>(random_.below(3));
   request->tenant = static_cast<std::uint32_t>(random_.below(3));
@@ -556,36 +557,37 @@
 void SimulatedRouter::gather_rare_events() {
   if (random_.one_in(25)) {
     discovery_.change(time_);
-    broker_.list_news(discovery_.tell());
+    broker_.on_endpoint_list_update(discovery_.tell());
   }
-  if (random_.one_in(60)) broker_.warned(discovery_.any(), static_cast<Micros>(random_.below(12 * kSecond)));
-  if (random_.one_in(90)) broker_.turned_away(static_cast<std::uint32_t>(random_.below(5)));
+  if (random_.one_in(60))
+    broker_.on_health_warning(discovery_.any(), static_cast<Micros>(random_.below(12 * kSecond)));
+  if (random_.one_in(90)) broker_.on_request_shed(static_cast<std::uint32_t>(random_.below(5)));
   if (random_.one_in(400)) broker_.reload_refused();
   if (random_.one_in(50)) {  // of no call or request that there is
-    broker_.call_events({1'000'000'000, 0}, "nobody's");
-    broker_.call_ended({1'000'000'000, 3}, Outcome::ok);
-    broker_.client_gone(1'000'000'000);
-    broker_.writable(1'000'000'000);
+    broker_.on_attempt_events({1'000'000'000, 0}, "nobody's");
+    broker_.on_attempt_ended({1'000'000'000, 3}, Outcome::ok);
+    broker_.on_client_disconnected(1'000'000'000);
+    broker_.on_client_writable(1'000'000'000);
   }
 }
 
-void SimulatedRouter::turn() {
+void SimulatedRouter::run_iteration() {
   const bool in_drain = broker_.phase() == Phase::draining;
   hash_.add(broker_.has_work());
-  broker_.turn();
+  broker_.run_iteration();
   log_.end_turn(hash_, in_drain);
-  hash_.add(word(broker_.next_alarm()));
-  if (broker_.phase() == Phase::starting) hash_.add(log_.number_of(broker_.unready_because()));
+  hash_.add(word(broker_.next_timer()));
+  if (broker_.phase() == Phase::starting) hash_.add(log_.number_of(broker_.not_ready_reason()));
   if (++turns_ % kTurnsBetweenLooks == 0) look();
 }
 
-std::vector<Broker::Running> SimulatedRouter::running(Wire wire) const {
-  std::vector<Broker::Running> all = broker_.running(wire);
+std::vector<Broker::MigratableStream> SimulatedRouter::migratable_streams(Wire wire) const {
+  std::vector<Broker::MigratableStream> all = broker_.migratable_streams(wire);
   std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
   return all;
 }
 void SimulatedRouter::look_at_running(Wire wire) {
-  for (const Broker::Running& r : running(wire)) {
+  for (const Broker::MigratableStream& r : migratable_streams(wire)) {
     hash_.add(r.id);
     hash_.add(r.call.attempt);
     hash_.add(r.replica);
@@ -597,9 +599,10 @@
 void SimulatedRouter::look() {
   hash_.add(static_cast<std::uint64_t>(broker_.phase()));
   hash_.add(log_.number_of(to_string(broker_.phase())));
-  for (const bool is : {broker_.ready(), broker_.lingering(), broker_.takes()}) hash_.add(is);
-  for (const std::size_t count :
-       {broker_.open_rpcs(), broker_.body_bytes(), broker_.listed_replicas(), broker_.avoided_replicas()}) {
+  for (const bool is : {broker_.ready(), broker_.accepts_new_clients(), broker_.accepts_requests()})
+    hash_.add(is);
+  for (const std::size_t count : {broker_.requests_in_flight(), broker_.body_bytes(),
+                                  broker_.listed_replicas(), broker_.avoided_replicas()}) {
     hash_.add(count);
   }
   std::vector<ReplicaId> ready = broker_.ready_replicas();
@@ -613,8 +616,8 @@
   }
 }
 
-Broker::Handed SimulatedRouter::hand() {
-  Broker::Handed handed = broker_.hand();
+Broker::ProcessSnapshot SimulatedRouter::snapshot() {
+  Broker::ProcessSnapshot handed = broker_.snapshot();
   std::sort(handed.entries.begin(), handed.entries.end(),
             [](const Endpoint& a, const Endpoint& b) { return a.replica.id < b.replica.id; });
   std::sort(handed.retired.begin(), handed.retired.end(),
@@ -638,10 +641,10 @@
 
 void SimulatedRouter::move_answers_to(SimulatedRouter& successor) {
   for (const Wire wire : {Wire::http, Wire::kserve}) {
-    for (const Broker::Running& r : running(wire)) {
+    for (const Broker::MigratableStream& r : migratable_streams(wire)) {
       if (random_.one_in(4)) continue;  // some stay
-      broker_.moved_out(r);
-      const RpcId id = successor.broker_.moved_in(r);
+      broker_.migrated_out(r);
+      const RequestId id = successor.broker_.migrated_in(r);
       hash_.add(id);
       for (Scheduled& event : scheduled_) {
         if (event.call.rpc != r.id || id == 0) continue;
@@ -678,7 +681,7 @@
     serving_->broker().drain(recording_.followed);
     for (std::size_t i = 0; i < kTurnsOfDrain; ++i) drain_a_turn(*serving_);
     EXPECT_EQ(serving_->broker().phase(), Phase::stopped);
-    EXPECT_EQ(serving_->broker().open_rpcs(), 0u);
+    EXPECT_EQ(serving_->broker().requests_in_flight(), 0u);
     RecordingHash both;
     both.add(first_.hash());
     if (second_ != nullptr) both.add(second_->hash());
@@ -692,28 +695,28 @@
   // Before the first list some requests wait, and the list fails once.
   void start(SimulatedRouter& router) {
     router.gather_requests(70);
-    router.turn();
+    router.run_iteration();
     router.gather_list(ListKind::failed);
-    router.turn();
+    router.run_iteration();
     router.gather_list(ListKind::cached);
-    router.turn();
+    router.run_iteration();
     router.gather_list(ListKind::full);
-    router.turn();
+    router.run_iteration();
   }
   void serve_a_turn(SimulatedRouter& router) {
     router.pass_time();
     router.gather_requests(kRequestPercent);
     router.gather_rare_events();
-    router.turn();
+    router.run_iteration();
   }
   // Some clients come late, and some are in the middle of a request.
   void drain_a_turn(SimulatedRouter& router) {
     router.pass_time();
-    router.gather_requests(router.broker().takes() ? kLatePercent : kLatePercent / 5);
+    router.gather_requests(router.broker().accepts_requests() ? kLatePercent : kLatePercent / 5);
     if (router.random().one_in(10)) {
-      router.broker().expecting(static_cast<std::size_t>(router.random().below(3)));
+      router.broker().set_partially_read_requests(static_cast<std::size_t>(router.random().below(3)));
     }
-    router.turn();
+    router.run_iteration();
   }
   void reload(SimulatedRouter& router) {
     const BrokerSettings settings = recording_.settings();
@@ -728,8 +731,8 @@
     second_->number_clients_from(first_.clients() - kSameNames);
     if (recording_.hand_over == HandOver::to_one_with_a_list) start(*second_);
     for (int i = 0; i < 4; ++i) second_->gather_requests(80);
-    second_->broker().adopt(first_.hand(), recording_.hand_over != HandOver::other_list);
-    second_->turn();
+    second_->broker().adopt(first_.snapshot(), recording_.hand_over != HandOver::other_list);
+    second_->run_iteration();
     first_.move_answers_to(*second_);
     first_.broker().drain(recording_.followed);
   }
@@ -790,7 +793,7 @@
 }
 BrokerSettings with_short_limits() {
   BrokerSettings s;
-  s.stall = 500 * kMilli;
+  s.stall_timeout = 500 * kMilli;
   s.list_lag = 3 * kSecond;
   s.drain_grace = kSecond;
   s.answer_grace = 200 * kMilli;
--- a/tests/core_stand_ins.h
+++ b/tests/core_stand_ins.h
@@ -14,34 +14,35 @@
 
 using core::Micros;
 
-struct Ports final : core::Clock, core::ReplicaList, core::Subchannels {
+struct Ports final : core::Clock, core::EndpointList, core::ReplicaClient {
   Micros time = 1000 * core::kSecond;
-  int observed = 0;
-  std::vector<core::CallId> calls, cancelled;
+  int subscribed = 0;
+  std::vector<core::AttemptId> calls, cancelled;
   std::vector<bool> paused;
   std::vector<Micros> patience;
   Micros no_new_after = 0;
   Micros now() override { return time; }
-  void observe(bool) override { ++observed; }
-  void update(const core::Endpoint&, Micros limit) override { no_new_after = limit; }
-  void call(core::CallId id, core::ReplicaId, std::shared_ptr<const core::RpcRequest>, Micros p) override {
+  void subscribe(bool) override { ++subscribed; }
+  void update_endpoint(const core::Endpoint&, Micros limit) override { no_new_after = limit; }
+  void start_attempt(core::AttemptId id, core::ReplicaId, std::shared_ptr<const core::Request>,
+                     Micros p) override {
     calls.push_back(id);
     patience.push_back(p);
   }
-  void cancel(core::CallId id) override { cancelled.push_back(id); }
-  void pause(core::CallId, bool on) override { paused.push_back(on); }
+  void cancel_attempt(core::AttemptId id) override { cancelled.push_back(id); }
+  void pause_attempt(core::AttemptId, bool on) override { paused.push_back(on); }
 };
 
-struct Answer final : core::Channel {
+struct Answer final : core::ResponseWriter {
   std::string text, end;
   bool slow = false;
-  bool pass(std::string_view events) override {
+  bool write_events(std::string_view events) override {
     text += events;
     return !slow;
   }
   void finish() override { end += "finish"; }
-  void break_off() override { end += "break"; }
-  void unavailable(Micros, bool late) override { end += late ? "late" : "unavailable"; }
+  void abort_stream() override { end += "break"; }
+  void reject(Micros, bool late) override { end += late ? "late" : "unavailable"; }
   void fail(core::Failure) override { end += "fail"; }
 };
 
@@ -63,7 +64,7 @@
   }
   // One replica, as a whole list has it.
   void list(policy::Health health, core::ReplicaId id, std::uint32_t version = 0, double born = 0.0) {
-    core::ListNews news;
+    core::EndpointListUpdate news;
     news.kind = policy::ListKind::full;
     news.version = version;
     news.entries.resize(1);
@@ -71,23 +72,23 @@
     news.entries[0].replica.id = id;
     news.entries[0].replica.health = health;
     news.entries[0].replica.born = born;
-    broker->list_news(std::move(news));
-    broker->turn();
+    broker->on_endpoint_list_update(std::move(news));
+    broker->run_iteration();
   }
-  std::shared_ptr<Answer> send(core::RpcId& id, std::size_t body = 0) {
-    auto rpc = std::make_shared<core::RpcRequest>();
+  std::shared_ptr<Answer> send(core::RequestId& id, std::size_t body = 0) {
+    auto rpc = std::make_shared<core::Request>();
     rpc->patience = 5 * core::kSecond;
     rpc->body.assign(body, 'x');
     rpc->trace_id = std::to_string(++sent);
     const auto answer = std::make_shared<Answer>();
-    id = broker->arrived(rpc, answer);
-    broker->turn();
+    id = broker->on_request(rpc, answer);
+    broker->run_iteration();
     return answer;
   }
   int sent = 0;
   void pass_time(Micros span) {
     for (const Micros end = ports.time + span; ports.time < end; ports.time += 5 * core::kMilli)
-      broker->turn();
+      broker->run_iteration();
   }
 };
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -36,18 +36,18 @@
 // and is owed its outcome. Seen without: the module counted such an attempt as out for good.
 void a_client_that_leaves_in_the_iteration_it_came_in() {
   Core c;
-  auto rpc = std::make_shared<core::RpcRequest>();
+  auto rpc = std::make_shared<core::Request>();
   rpc->patience = 5 * core::kSecond;
   rpc->trace_id = "x";
-  const core::RpcId id = c.broker->arrived(rpc, std::make_shared<tests::Answer>());
-  c.broker->client_gone(id);
-  c.broker->turn();
-  c.broker->turn();
+  const core::RequestId id = c.broker->on_request(rpc, std::make_shared<tests::Answer>());
+  c.broker->on_client_disconnected(id);
+  c.broker->run_iteration();
+  c.broker->run_iteration();
   CHECK(c.ports.calls.empty());
   const auto moot = static_cast<std::size_t>(Outcome::moot);
   CHECK(c.broker->counters().outcomes[moot] == 1);
   c.broker->drain();
-  c.pass_time(c.limits.linger + c.limits.last_words + 10 * core::kMilli);
+  c.pass_time(c.limits.drain_accept_window + c.limits.final_response_grace + 10 * core::kMilli);
   CHECK(c.broker->phase() == core::Phase::stopped);  // nothing is left in the table
 }
 
@@ -61,10 +61,10 @@
 // What comes 0.7 s after SIGTERM may be open at SIGKILL; SIGTERM may be seen a hold-up late.
 void a_drain_takes_nothing_that_it_may_not_end() {
   Core c;
-  CHECK(c.limits.linger + core::kHoldUp < 700 * core::kMilli);
+  CHECK(c.limits.drain_accept_window + core::kHoldUp < 700 * core::kMilli);
   c.broker->drain();
-  c.pass_time(c.limits.linger - 20 * core::kMilli);
-  core::RpcId id = 0;
+  c.pass_time(c.limits.drain_accept_window - 20 * core::kMilli);
+  core::RequestId id = 0;
   CHECK(c.send(id)->end.empty());
   c.pass_time(40 * core::kMilli);
   CHECK(c.send(id)->end == "unavailable");
@@ -114,7 +114,7 @@
 }
 
 Micros born(discovery::BootClock& clock, Micros now, core::ReplicaId id, Micros unix_time) {
-  core::ListNews news;
+  core::EndpointListUpdate news;
   news.entries.resize(1);
   news.entries[0].replica.id = id;
   news.entries[0].replica.born = static_cast<double>(unix_time) / 1e6;
@@ -148,7 +148,7 @@
 void an_old_list_proves_nothing_of_the_clock() {
   constexpr Micros kNow = 100 * core::kSecond, kUnix = 1'700'000'000 * core::kSecond;
   discovery::BootClock clock(-kUnix);
-  core::ListNews old;
+  core::EndpointListUpdate old;
   old.entries.resize(1);
   old.entries[0].replica.id = 1;
   old.entries[0].replica.born = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
@@ -166,14 +166,14 @@
   tests::Ports ports;
   tcp::acceptor acceptor{io, {boost::asio::ip::address_v4::loopback(), 0}};
   tcp::socket peer{io};
-  std::vector<core::ListNews> told;
+  std::vector<core::EndpointListUpdate> told;
   std::unique_ptr<discovery::Watch> watch;
   explicit Discovery(discovery::Silence silence = {}) {
     watch = std::make_unique<discovery::Watch>(
         io, ports, config::HostPort{"127.0.0.1", acceptor.local_endpoint().port()}, discovery::Names{},
         discovery::BootClock(0), silence);
-    watch->tell([this](core::ListNews news) { told.push_back(std::move(news)); });
-    watch->observe(true);
+    watch->tell([this](core::EndpointListUpdate news) { told.push_back(std::move(news)); });
+    watch->subscribe(true);
     acceptor.accept(peer);
     write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   }
@@ -257,16 +257,16 @@
     for (int i = 0; i < 4; ++i) {
       io.poll();
       io.restart();
-      core.broker->turn();
+      core.broker->run_iteration();
     }
   }
   void write(const std::string& bytes) {
     boost::asio::write(client, boost::asio::buffer(bytes));
     step();
   }
-  void answer(core::RpcId id) {
-    core.broker->call_events({id, 0}, "data: x\n\n");
-    core.broker->call_ended({id, 0}, Outcome::ok);
+  void answer(core::RequestId id) {
+    core.broker->on_attempt_events({id, 0}, "data: x\n\n");
+    core.broker->on_attempt_ended({id, 0}, Outcome::ok);
     step();
   }
   // All that the client gets until its connection ends, or until it has this at its end.
@@ -308,7 +308,7 @@
   r.write(request("1") + request("2") + request("3"));
   CHECK(r.core.ports.calls.size() == 1);
   r.core.broker->drain();
-  for (core::RpcId id = 1; id <= 3; ++id) r.answer(id);
+  for (core::RequestId id = 1; id <= 3; ++id) r.answer(id);
   const std::string got = r.read();
   CHECK(count(got, "HTTP/1.1 200 OK") == 3 && count(got, "Connection: close") == 1 && !got.ends_with("!"));
   CHECK(got.rfind("Connection: close") > got.rfind("HTTP/1.1 200 OK"));
@@ -320,10 +320,10 @@
   Router r;
   r.core.broker->drain();
   r.write(request("1"));
-  r.core.broker->call_events({1, 0}, "data: x\n\n");
+  r.core.broker->on_attempt_events({1, 0}, "data: x\n\n");
   r.step();
   r.write(request("2"));  // the head of the first answer has said 'Connection: close' by now
-  r.core.broker->call_ended({1, 0}, Outcome::ok);
+  r.core.broker->on_attempt_ended({1, 0}, Outcome::ok);
   const std::string got = r.read();
   CHECK(count(got, "HTTP/1.1 200 OK") == 1 && count(got, "HTTP/1.1 503") == 1 && !got.ends_with("!"));
   CHECK(r.core.ports.calls.size() == 1);
@@ -334,12 +334,12 @@
   const std::string whole = request("1");
   r.write(whole.substr(0, whole.size() / 2));
   r.core.broker->drain();
-  r.core.pass_time(r.core.limits.linger + 10 * core::kMilli);
-  CHECK(!r.core.broker->takes());
-  r.core.broker->expecting(r.front.half_read());
+  r.core.pass_time(r.core.limits.drain_accept_window + 10 * core::kMilli);
+  CHECK(!r.core.broker->accepts_requests());
+  r.core.broker->set_partially_read_requests(r.front.partially_read_requests());
   r.front.refuse_half_read();
   r.step();
-  r.core.pass_time(r.core.limits.last_words / 2);
+  r.core.pass_time(r.core.limits.final_response_grace / 2);
   CHECK(r.core.broker->phase() == core::Phase::draining);  // the word is on its way
   boost::asio::write(r.client, boost::asio::buffer(whole.substr(whole.size() / 2)));
   r.client.shutdown(tcp::socket::shutdown_send);
@@ -357,7 +357,7 @@
   r.client.close();
   CHECK(r.until([&] { return !r.core.ports.cancelled.empty(); }));
   r.step();
-  CHECK(r.core.ports.calls.size() == 1 && r.core.broker->open_rpcs() == 0);
+  CHECK(r.core.ports.calls.size() == 1 && r.core.broker->requests_in_flight() == 0);
 }
 
 // A client that stops in the middle of a later request is told within 3 s, as in its first.
@@ -393,17 +393,17 @@
 struct Dialled {
   Core core;
   boost::asio::io_context io{1};
-  http::HttpReplicaClient subchannels{io, *core.broker, core.ports, some_room()};
+  http::HttpReplicaClient replica_client{io, *core.broker, core.ports, some_room()};
   tcp::acceptor listener{io, {boost::asio::ip::address_v4::loopback(), 0}};
   tcp::socket peer{io};
   core::Endpoint at;
   Dialled() {
     at.address = "127.0.0.1:" + std::to_string(listener.local_endpoint().port());
     at.replica.id = 5;
-    subchannels.update(at, core::kNever);
-    auto rpc = std::make_shared<core::RpcRequest>();
+    replica_client.update_endpoint(at, core::kNever);
+    auto rpc = std::make_shared<core::Request>();
     rpc->method = "POST";
-    subchannels.call({1, 0}, 5, rpc, core::kSecond);
+    replica_client.start_attempt({1, 0}, 5, rpc, core::kSecond);
     listener.accept(peer);
   }
   // The loop looks; the connection ends without a byte.
@@ -417,14 +417,14 @@
 
 void a_client_that_leaves_while_a_connection_comes_up() {
   Dialled d;
-  d.subchannels.cancel({1, 0});
+  d.replica_client.cancel_attempt({1, 0});
   CHECK(d.nothing_is_written());
 }
 
 // Its replica drains, and its grace is over, while the connection comes up.
 void a_replica_that_drains_while_a_connection_comes_up() {
   Dialled d;
-  d.subchannels.update(d.at, d.core.ports.time);
+  d.replica_client.update_endpoint(d.at, d.core.ports.time);
   CHECK(d.nothing_is_written());
 }
 
@@ -434,13 +434,13 @@
 // What is said to the router, or belongs to the connection, does not.
 void a_clients_own_headers_pass_on() {
   Router r;
-  http::HttpReplicaClient subchannels(r.io, *r.core.broker, r.core.ports, some_room());
-  r.core.broker->attach(core::Wire::http, subchannels);
+  http::HttpReplicaClient replica_client(r.io, *r.core.broker, r.core.ports, some_room());
+  r.core.broker->attach(core::Wire::http, replica_client);
   tcp::acceptor replica(r.io, {boost::asio::ip::address_v4::loopback(), 0});
   core::Endpoint at;
   at.address = "127.0.0.1:" + std::to_string(replica.local_endpoint().port());
   at.replica.id = 1;
-  subchannels.update(at, core::kNever);
+  replica_client.update_endpoint(at, core::kNever);
   std::string asked = request("1");
   asked.insert(
       asked.find("\r\n") + 2,
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -354,10 +354,10 @@
   // A replica dies.
   const auto from = now();
   fleet.replicas[4].reset();
-  const auto warned = [&](std::size_t i) {
+  const auto on_health_warning = [&](std::size_t i) {
     return fleet.log(i).find("event=avoids_by_hearsay") != std::string::npos;
   };
-  const bool good = within(5000, [&] { return warned(6) && warned(7); });
+  const bool good = within(5000, [&] { return on_health_warning(6) && on_health_warning(7); });
   const double took = since(from);
   if (!good) fleet.print_logs();
   CHECK(good);
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -304,7 +304,7 @@
       follower(clock, set, ports(f), "d", 2);
   using State = coordination::SharedEndpointList::State;
   for (coordination::SharedEndpointList* l : {&reader, &follower}) {
-    l->observe(true);
+    l->subscribe(true);
     l->line(0, 1, "whole");
   }
   reader.reader(true);
--- a/tests/fuzz/state.cpp
+++ b/tests/fuzz/state.cpp
@@ -17,7 +17,7 @@
     for (int i = 0; i < 4; ++i) bytes += static_cast<char>(x >> (8 * i) & 0xff);
   }
   bytes.append(reinterpret_cast<const char*>(data), size);
-  core::Broker::Handed out;
+  core::Broker::ProcessSnapshot out;
   bool same_list = false;
   if (!hot_restart::decode_snapshot(bytes, {"", "", 10, 0}, 20, out, same_list).empty()) return 0;
   if (out.learned.waits.size() != out.learned.class_work.size() ||
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -27,8 +27,8 @@
 flintglade::policy::Stay stay() { return {some(100), some(100), 0.0, some(6)}; }
 flintglade::policy::Decayed decayed() { return {some(1000), some(6)}; }
 
-Broker::Handed handed() {
-  Broker::Handed h;
+Broker::ProcessSnapshot handed() {
+  Broker::ProcessSnapshot h;
   h.version = *rc::gen::arbitrary<std::uint32_t>();
   const int replicas = *rc::gen::inRange(0, 40), prefixes = *rc::gen::inRange(0, 300);
   for (int i = 0; i < replicas; ++i) {
@@ -78,7 +78,7 @@
   return h;
 }
 
-std::string read(const std::string& bytes, Broker::Handed& out, const Origin& reader = kReader,
+std::string read(const std::string& bytes, Broker::ProcessSnapshot& out, const Origin& reader = kReader,
                  core::Micros now = kNow) {
   bool same_list = false;
   return hot_restart::decode_snapshot(bytes, reader, now, out, same_list);
@@ -86,9 +86,9 @@
 
 void what_is_written_is_read() {
   falsified(rc::check("written and read", [] {
-    const Broker::Handed before = handed();
+    const Broker::ProcessSnapshot before = handed();
     const std::string bytes = encode_snapshot(before, kWriter, kNow - 1000);
-    Broker::Handed after;
+    Broker::ProcessSnapshot after;
     RC_ASSERT(read(bytes, after) == "");
     RC_ASSERT(after.version == before.version && after.entries.size() == before.entries.size());
     for (std::size_t i = 0; i < before.entries.size(); ++i) {
@@ -104,7 +104,7 @@
                                                1e6));
     }
     // All the rest by writing it again.
-    Broker::Handed again = after;
+    Broker::ProcessSnapshot again = after;
     again.entries = before.entries;
     RC_ASSERT(encode_snapshot(again, kWriter, kNow - 1000) == bytes);
   }));
@@ -114,7 +114,7 @@
   falsified(rc::check("changed and cut", [] {
     std::string bytes = encode_snapshot(handed(), kWriter, kNow - 1000);
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
-    Broker::Handed out;
+    Broker::ProcessSnapshot out;
     RC_ASSERT(read(bytes.substr(0, at), out) != "");
     bytes[at] = static_cast<char>(bytes[at] ^ *rc::gen::inRange(1, 256));
     RC_ASSERT(read(bytes, out) != "");
@@ -126,7 +126,7 @@
     Origin reader = kReader;
     core::Micros now = kNow;
     change(reader, now);
-    Broker::Handed out;
+    Broker::ProcessSnapshot out;
     return read(encode_snapshot({}, kWriter, kNow - 1000), out, reader, now);
   };
   CHECK(by([](Origin&, core::Micros&) {}) == "");
@@ -135,8 +135,8 @@
   CHECK(by([](Origin& r, core::Micros&) { r.began = kWriter.began; }) == hot_restart::kWriterNotOlder);
   CHECK(by([](Origin&, core::Micros& now) { now += hot_restart::kMaxSnapshotAge; }) == "it is old");
   CHECK(by([](Origin&, core::Micros& now) { now -= 2000; }) == "it is old");  // of the future
-  Broker::Handed h;
-  Broker::Handed out;
+  Broker::ProcessSnapshot h;
+  Broker::ProcessSnapshot out;
   bool same_list = true;
   Origin elsewhere = kReader;
   elsewhere.discovery = "127.0.0.1:8501";
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -18,8 +18,8 @@
 
 using namespace flintglade;
 using namespace flintglade::endpoint_sources;
+using core::EndpointListUpdate;
 using core::kSecond;
-using core::ListNews;
 using flintglade::policy::ListKind;
 
 std::string address(int n) { return "10.0.0." + std::to_string(n) + ":8000"; }
@@ -32,8 +32,8 @@
   e.address = address(at);
   return e;
 }
-ListNews list(ListKind kind, std::uint32_t version, std::vector<core::Endpoint> entries) {
-  ListNews news;
+EndpointListUpdate list(ListKind kind, std::uint32_t version, std::vector<core::Endpoint> entries) {
+  EndpointListUpdate news;
   news.kind = kind;
   news.version = version;
   news.entries = std::move(entries);
@@ -73,8 +73,8 @@
   double size(int n) const { return m.verdicts().at(address(n)).endpoint.replica.size; }
   void pass(Micros span) {
     const Micros end = now + span;
-    while (m.next_alarm() <= end) {
-      now = std::max(now, m.next_alarm());
+    while (m.next_timer() <= end) {
+      now = std::max(now, m.next_timer());
       m.wake(now);
     }
     now = end;
@@ -417,8 +417,8 @@
   void busy(flintglade::policy::RequestId, double) override {}
   void fail(flintglade::policy::RequestId) override {}
   void stop_attempt(flintglade::policy::RequestId, std::uint16_t) override {}
-  void set_alarm(double, std::uint64_t) override {}
-  void observe(bool) override {}
+  void set_timer(double, std::uint64_t) override {}
+  void subscribe(bool) override {}
 };
 
 struct Router {
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -78,7 +78,16 @@
     {3.0, 2.5, 2, false}, {0.3, 0.6, 0, false}, {1.0, 1.0, 1, true},
 };
 
-enum class Happening { request, accepted, response, client_gone, alarm, list, list_answer, warning };
+enum class Happening {
+  request,
+  accepted,
+  response,
+  on_client_disconnected,
+  alarm,
+  list,
+  list_answer,
+  warning
+};
 
 struct Scheduled {
   double at = 0.0;
@@ -319,7 +328,7 @@
     record(kStopAttempt, id, attempt);
     schedule_end(0.001, id, attempt, Outcome::cancelled);
   }
-  void set_alarm(double span, std::uint64_t cookie) override {
+  void set_timer(double span, std::uint64_t cookie) override {
     record(kSetAlarm, cookie, 0);
     hash_.add_seconds(span);
     Scheduled alarm;
@@ -327,7 +336,7 @@
     alarm.cookie = cookie;
     push(span, alarm);
   }
-  void observe(bool on) override {
+  void subscribe(bool on) override {
     record(kObserve, on, 0);
     schedule(random_.between(0.01, 0.3), Happening::list_answer);
   }
@@ -371,7 +380,7 @@
         return take_accepted(next);
       case Happening::response:
         return take_response(next);
-      case Happening::client_gone:
+      case Happening::on_client_disconnected:
         return take_client_gone(next);
       case Happening::alarm:
         return router(next.router).on_wake(told_time(), next.cookie, *this);
@@ -425,7 +434,7 @@
     requests_.back().prefix_tokens = query.prefix_tokens;
     router(routers_.size() - 1).on_query(told_time(), query, *this);
     if (random_.one_in(50)) router(routers_.size() - 1).on_query(now_, query, *this);  // the same id again
-    if (random_.one_in(25)) schedule(random_.between(0.0, 2.0), Happening::client_gone, id);
+    if (random_.one_in(25)) schedule(random_.between(0.0, 2.0), Happening::on_client_disconnected, id);
     schedule(random_.between(0.0, 2.0 / (traffic_.requests_a_second * phase().load)), Happening::request);
   }
   std::uint32_t last_class() const {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1161,22 +1161,22 @@
   Script s(set);
   s.list(ListKind::cached, fleet(3));
   s.run_to(100.5);
-  EXPECT_EQ(s.of(Action::observe).size(), 1u);
+  EXPECT_EQ(s.of(Action::subscribe).size(), 1u);
   std::vector<double> waits;
   for (int i = 0; i < 8; ++i) {
-    const auto asked = s.of(Action::observe).size();
+    const auto asked = s.of(Action::subscribe).size();
     s.list(ListKind::failed, {});
     EXPECT_NE(s.placed(5), 0u);  // the last list stays in force
     const double from = s.now;
-    while (s.of(Action::observe).size() == asked && s.now < from + 60.0) s.run_to(s.now + 0.01);
+    while (s.of(Action::subscribe).size() == asked && s.now < from + 60.0) s.run_to(s.now + 0.01);
     waits.push_back(s.now - from);
   }
   for (double w : waits) EXPECT_LT(w, 3.1);  // releases go on while the list is not seen
   EXPECT_GT(waits[3] + waits[4], waits[0] * 2.0);
   s.list(ListKind::delta, {});
-  const auto asked = s.of(Action::observe).size();
+  const auto asked = s.of(Action::subscribe).size();
   s.run_to(400.0);
-  EXPECT_EQ(s.of(Action::observe).size(), asked);  // subscribed: no further calls
+  EXPECT_EQ(s.of(Action::subscribe).size(), asked);  // subscribed: no further calls
 }
 // What an agent beside the router has counts as told, also before it is asked: it is asked again soon.
 TEST(OnRequest, AnAgentIsAskedAgainSoon) {
@@ -1186,17 +1186,17 @@
   s.list(ListKind::cached, fleet(3));
   s.run_to(100.5);
   for (int i = 0; i < 8; ++i) {
-    const auto asked = s.of(Action::observe).size();
+    const auto asked = s.of(Action::subscribe).size();
     s.list(ListKind::failed, {});
     s.run_to(s.now + 0.4);
-    EXPECT_GT(s.of(Action::observe).size(), asked);
+    EXPECT_GT(s.of(Action::subscribe).size(), asked);
   }
 }
 TEST(OnRequest, APushedListIsNeverAskedFor) {
   Script s(plain());
   s.list(ListKind::cached, fleet(3));
   s.run_to(200.0);
-  EXPECT_TRUE(s.of(Action::observe).empty());
+  EXPECT_TRUE(s.of(Action::subscribe).empty());
 }
 
 // ---- odd settings and determinism -------------------------------------------------------------------------
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -202,7 +202,7 @@
 class MergeRecorder {
  public:
   explicit MergeRecorder(std::uint64_t seed) : random_(seed) {
-    merge_.known(now_, list_news(policy::ListKind::full, 6));
+    merge_.known(now_, on_endpoint_list_update(policy::ListKind::full, 6));
     record();
   }
 
@@ -221,8 +221,8 @@
     const core::Micros longest = random_.one_in(40) ? 60 * core::kSecond : 2 * core::kSecond;
     const core::Micros end =
         now_ + static_cast<core::Micros>(random_.below(static_cast<std::uint64_t>(longest)));
-    while (merge_.next_alarm() <= end) {
-      now_ = std::max(now_, merge_.next_alarm());
+    while (merge_.next_timer() <= end) {
+      now_ = std::max(now_, merge_.next_timer());
       merge_.wake(now_);
       record();
     }
@@ -250,17 +250,17 @@
 
   std::string some_dns_source() { return kDnsSources[random_.below(kDnsSources.size())]; }
 
-  core::ListNews next_list() {
+  core::EndpointListUpdate next_list() {
     if (random_.one_in(30)) version_ = static_cast<std::uint32_t>(random_.below(version_ + 1));  // set back
     ++version_;
     const std::uint64_t kind = random_.below(8);
-    if (kind == 0) return list_news(policy::ListKind::full, random_.between(4, kAddresses));
-    if (kind == 1) return list_news(policy::ListKind::cached, random_.between(4, kAddresses));
-    return list_news(policy::ListKind::delta, random_.between(1, 4));
+    if (kind == 0) return on_endpoint_list_update(policy::ListKind::full, random_.between(4, kAddresses));
+    if (kind == 1) return on_endpoint_list_update(policy::ListKind::cached, random_.between(4, kAddresses));
+    return on_endpoint_list_update(policy::ListKind::delta, random_.between(1, 4));
   }
 
-  core::ListNews list_news(policy::ListKind kind, std::uint64_t entries) {
-    core::ListNews news;
+  core::EndpointListUpdate on_endpoint_list_update(policy::ListKind kind, std::uint64_t entries) {
+    core::EndpointListUpdate news;
     news.kind = kind;
     news.version = version_;
     for (std::uint64_t i = 0; i < entries; ++i) news.entries.push_back(list_entry(kind));
@@ -319,7 +319,7 @@
       hash_.add_integer(priority);
       hash_.add_double(part);
     }
-    hash_.add_integer(static_cast<std::uint64_t>(merge_.next_alarm()));
+    hash_.add_integer(static_cast<std::uint64_t>(merge_.next_timer()));
     record_sources();
   }
 
@@ -335,7 +335,7 @@
     }
   }
 
-  void add(const core::ListNews& news) {
+  void add(const core::EndpointListUpdate& news) {
     hash_.add_integer(static_cast<std::uint64_t>(news.kind));
     hash_.add_integer(news.version);
     hash_.add_integer(news.entries.size());
@@ -401,8 +401,8 @@
   void one_event(shared::HealthObserver& router) {
     const std::uint64_t replica = random_.between(1, kReplicas + 1);
     if (random_.one_in(10)) return router.first_event(now_, replica);
-    if (fails(replica) && !random_.one_in(10)) return router.call_ended(now_, replica, failure());
-    router.call_ended(now_, replica, random_.one_in(30) ? failure() : policy::Outcome::ok);
+    if (fails(replica) && !random_.one_in(10)) return router.on_attempt_ended(now_, replica, failure());
+    router.on_attempt_ended(now_, replica, random_.one_in(30) ? failure() : policy::Outcome::ok);
   }
 
   // Replicas of low numbers fail by turns, each for some seconds.
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -129,13 +129,13 @@
 TEST_F(StoredData, StateSnapshotIsRead) {
   hot_restart::Origin reader = state_writer();
   reader.began = 5 * core::kSecond;
-  core::Broker::Handed read;
+  core::Broker::ProcessSnapshot read;
   bool same_list = false;
   ASSERT_EQ(hot_restart::decode_snapshot(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli, read,
                                          same_list),
             "");
   EXPECT_TRUE(same_list);
-  const core::Broker::Handed sample = sample_state();
+  const core::Broker::ProcessSnapshot sample = sample_state();
   EXPECT_EQ(read.version, sample.version);
   ASSERT_EQ(read.entries.size(), sample.entries.size());
   for (std::size_t i = 0; i < sample.entries.size(); ++i) expect_same(read.entries[i], sample.entries[i]);
@@ -150,7 +150,7 @@
 
 TEST_F(StoredData, StateSnapshotNamesItsWriter) {
   const auto refusal = [](const hot_restart::Origin& reader, core::Micros now) {
-    core::Broker::Handed read;
+    core::Broker::ProcessSnapshot read;
     bool same_list = false;
     return hot_restart::decode_snapshot(fixture(kStateFile), reader, now, read, same_list);
   };
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -103,8 +103,8 @@
   return writer;
 }
 
-core::Broker::Handed sample_state() {
-  core::Broker::Handed out;
+core::Broker::ProcessSnapshot sample_state() {
+  core::Broker::ProcessSnapshot out;
   out.version = 43;
   out.entries = {replica(0xa1b2c3d4e5f60708u, "10.1.0.18:8000", Health::ready, 2.5),
                  replica(0x0102030405060708u, "[fd00::7]:8000", Health::draining, 0.0),
--- a/tests/recordings/stored_samples.h
+++ b/tests/recordings/stored_samples.h
@@ -20,7 +20,7 @@
 
 const hot_restart::Origin& state_writer();
 inline constexpr core::Micros kStateWrittenAt = 5'999'000;
-core::Broker::Handed sample_state();
+core::Broker::ProcessSnapshot sample_state();
 
 // ---- a voter's file
 
--- a/tests/resolver_test.cpp
+++ b/tests/resolver_test.cpp
@@ -118,8 +118,8 @@
     const Micros end = now + span;
     resolver.wake(now);
     answer_all();
-    while (resolver.next_alarm() <= end) {
-      now = std::max(now + 1, resolver.next_alarm());
+    while (resolver.next_timer() <= end) {
+      now = std::max(now + 1, resolver.next_timer());
       resolver.wake(now);
       answer_all();
     }
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -327,11 +327,11 @@
 void a_witness_tells_of_rows_of_failures() {
   shared::HealthObserver w{shared::Settings{}};
   using flintglade::policy::Outcome;
-  w.call_ended(0, 1, Outcome::reset);
+  w.on_attempt_ended(0, 1, Outcome::reset);
   CHECK(w.cases(0).empty() && !w.changed());
-  w.call_ended(1, 1, Outcome::connect_failed);
-  w.call_ended(1, 2, Outcome::full);
-  w.call_ended(1, 2, Outcome::cancelled);
+  w.on_attempt_ended(1, 1, Outcome::connect_failed);
+  w.on_attempt_ended(1, 2, Outcome::full);
+  w.on_attempt_ended(1, 2, Outcome::cancelled);
   CHECK(w.changed() && w.cases(1).size() == 1 && w.cases(1)[0].bad() && w.cases(1)[0].count() == 2);
   w.first_event(2, 1);
   CHECK(w.changed() && w.cases(2).size() == 1 && !w.cases(2)[0].bad());
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -121,7 +121,7 @@
         case Behaviour::End::failed:
           if (!send_all(socket, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")) return;
           break;
-        case Behaviour::End::turned_away:
+        case Behaviour::End::on_request_shed:
           if (!send_all(socket, "HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")) return;
           break;
         case Behaviour::End::rejected:
@@ -167,7 +167,7 @@
         return grpc::Status::OK;
       case Behaviour::End::failed:
         return {grpc::StatusCode::INTERNAL, "no"};
-      case Behaviour::End::turned_away:
+      case Behaviour::End::on_request_shed:
         context->AddTrailingMetadata(kserve::kNeverRan, "1");
         return {grpc::StatusCode::UNAVAILABLE, "full"};
       case Behaviour::End::rejected:
@@ -507,7 +507,7 @@
   };
   if (kind == "error") return End::failed;
   if (kind == "reject") return End::rejected;
-  if (kind == "full") return End::turned_away;
+  if (kind == "full") return End::on_request_shed;
   if (kind == "gated" && !emit(0)) return End::broken;  // one event at least, released or not
   if (kind == "gated") return wait_until(released, true) ? End::whole : End::broken;
   for (int n = 0; n < events && kind != "hang" && kind != "none"; ++n) {
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -30,7 +30,7 @@
   std::mutex mutex;                             // of what follows
   std::map<std::string, std::string> metadata;  // gRPC: of the last request
 
-  enum class End { whole, broken, failed, turned_away, rejected };
+  enum class End { whole, broken, failed, on_request_shed, rejected };
   // Plays the behaviour; emit gives false once the other side is gone.
   End play(const std::function<bool(int)>& emit);
 };
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -45,68 +45,68 @@
 
 void an_answer_ends_once() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   const auto answer = c.send(id);
   CHECK(c.ports.calls.size() == 1);
-  c.broker->call_events({id, 0}, "a");
-  c.broker->call_events({id, 0}, "b");
-  c.broker->call_ended({id, 0}, Outcome::ok);
-  c.broker->call_ended({id, 0}, Outcome::reset);  // a second word on the same attempt is passed over
-  c.broker->client_gone(id);
-  c.broker->turn();
+  c.broker->on_attempt_events({id, 0}, "a");
+  c.broker->on_attempt_events({id, 0}, "b");
+  c.broker->on_attempt_ended({id, 0}, Outcome::ok);
+  c.broker->on_attempt_ended({id, 0}, Outcome::reset);  // a second word on the same attempt is passed over
+  c.broker->on_client_disconnected(id);
+  c.broker->run_iteration();
   CHECK(answer->text == "ab" && answer->end == "finish");
-  CHECK(c.broker->open_rpcs() == 0 && c.broker->counters().gone == 0);
+  CHECK(c.broker->requests_in_flight() == 0 && c.broker->counters().gone == 0);
 }
 
 void events_after_the_first_have_no_deadline() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   const auto answer = c.send(id);
-  c.broker->call_events({id, 0}, "a");
+  c.broker->on_attempt_events({id, 0}, "a");
   for (int i = 0; i < 8; ++i) {
     c.pass_time(core::kSecond);
-    c.broker->call_events({id, 0}, "b");
+    c.broker->on_attempt_events({id, 0}, "b");
   }
-  c.broker->call_ended({id, 0}, Outcome::ok);
-  c.broker->turn();
+  c.broker->on_attempt_ended({id, 0}, Outcome::ok);
+  c.broker->run_iteration();
   CHECK(answer->text == "abbbbbbbb" && answer->end == "finish");
   CHECK(c.ports.calls.size() == 1);
 }
 
 void a_silent_stream_breaks_and_a_held_up_one_does_not() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   auto answer = c.send(id);
-  c.broker->call_events({id, 0}, "a");
-  c.pass_time(2 * c.limits.stall);
+  c.broker->on_attempt_events({id, 0}, "a");
+  c.pass_time(2 * c.limits.stall_timeout);
   CHECK(answer->end == "break" && c.ports.cancelled.size() == 1 && c.broker->counters().stalled == 1);
   answer = c.send(id);
   answer->slow = true;
-  c.broker->call_events({id, 0}, "a");
-  c.pass_time(2 * c.limits.stall);
+  c.broker->on_attempt_events({id, 0}, "a");
+  c.pass_time(2 * c.limits.stall_timeout);
   CHECK(answer->end.empty() && c.ports.paused == std::vector<bool>{true});
-  c.broker->writable(id);
-  c.broker->turn();
+  c.broker->on_client_writable(id);
+  c.broker->run_iteration();
   CHECK(c.ports.paused.back() == false);
 }
 
 void every_rpc_is_answered_by_its_deadline() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   const auto answer = c.send(id);
   c.pass_time(5 * core::kSecond + c.limits.answer_grace);
   CHECK(answer->end == "late");
-  CHECK(c.broker->open_rpcs() == 0);
+  CHECK(c.broker->requests_in_flight() == 0);
 }
 
 // Refused by every replica there is: nothing can change for it, so its client is not kept waiting.
 void an_rpc_that_is_given_up_is_answered_at_once() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   auto answer = c.send(id);
-  c.broker->call_ended({id, 0}, Outcome::full);
-  c.broker->turn();
-  CHECK(answer->end == "unavailable" && c.broker->open_rpcs() == 0);
+  c.broker->on_attempt_ended({id, 0}, Outcome::full);
+  c.broker->run_iteration();
+  CHECK(answer->end == "unavailable" && c.broker->requests_in_flight() == 0);
   // Without any replica it is held in the hope of one, but not for long.
   c.list(Health::gone, 1);
   answer = c.send(id);
@@ -118,11 +118,11 @@
 
 void a_gone_client_ends_its_call() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   const auto answer = c.send(id);
-  c.broker->call_events({id, 0}, "a");
-  c.broker->client_gone(id);
-  c.broker->turn();
+  c.broker->on_attempt_events({id, 0}, "a");
+  c.broker->on_client_disconnected(id);
+  c.broker->run_iteration();
   CHECK(answer->end.empty() && c.ports.cancelled.size() == 1);
   CHECK(c.broker->counters().outcomes[static_cast<int>(Outcome::cancelled)] == 1);
 }
@@ -133,45 +133,45 @@
   Core c;
   c.broker->reload(c.limits.drain_grace, c.limits.answer_grace, 2 * core::kSecond);
   const auto cancelled = [&] { return c.broker->counters().outcomes[static_cast<int>(Outcome::cancelled)]; };
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   const auto answer = c.send(id, 1000);
-  c.broker->call_events({id, 0}, "a");
-  c.broker->client_gone(id);
-  c.broker->turn();
+  c.broker->on_attempt_events({id, 0}, "a");
+  c.broker->on_client_disconnected(id);
+  c.broker->run_iteration();
   CHECK(answer->end.empty() && c.ports.cancelled.size() == 1 && cancelled() == 0);
   c.pass_time(1900 * core::kMilli);
   CHECK(cancelled() == 0 && c.broker->counters().held == 1);
   c.pass_time(200 * core::kMilli);
   CHECK(cancelled() == 1);
   c.send(id);
-  c.broker->client_gone(id);
-  c.broker->turn();
-  c.broker->call_ended({id, 0}, Outcome::reset);  // its replica says so before the hold is over
-  c.broker->turn();
+  c.broker->on_client_disconnected(id);
+  c.broker->run_iteration();
+  c.broker->on_attempt_ended({id, 0}, Outcome::reset);  // its replica says so before the hold is over
+  c.broker->run_iteration();
   CHECK(c.broker->counters().outcomes[static_cast<int>(Outcome::reset)] == 1);
   c.pass_time(3 * core::kSecond);
   CHECK(cancelled() == 1);
   c.send(id);
-  c.broker->client_gone(id);
-  c.broker->turn();
+  c.broker->on_client_disconnected(id);
+  c.broker->run_iteration();
   c.broker->drain();
-  c.pass_time(c.limits.linger + c.limits.last_words + 10 * core::kMilli);
-  CHECK(c.broker->phase() == core::Phase::stopped && c.broker->open_rpcs() == 0);
+  c.pass_time(c.limits.drain_accept_window + c.limits.final_response_grace + 10 * core::kMilli);
+  CHECK(c.broker->phase() == core::Phase::stopped && c.broker->requests_in_flight() == 0);
 }
 
 // An answer without any event is one only where the request says that it may be.
 void an_empty_answer_is_one_where_it_may_be() {
   for (const bool may : {true, false}) {
     Core c;
-    auto rpc = std::make_shared<core::RpcRequest>();
+    auto rpc = std::make_shared<core::Request>();
     rpc->patience = 5 * core::kSecond;
     rpc->trace_id = "e";
     rpc->may_be_empty = may;
     const auto answer = std::make_shared<Answer>();
-    const core::RpcId id = c.broker->arrived(rpc, answer);
-    c.broker->turn();
-    c.broker->call_ended({id, 0}, Outcome::ok);
-    c.broker->turn();
+    const core::RequestId id = c.broker->on_request(rpc, answer);
+    c.broker->run_iteration();
+    c.broker->on_attempt_ended({id, 0}, Outcome::ok);
+    c.broker->run_iteration();
     CHECK((answer->end == "finish") == may && answer->text.empty());
     CHECK(c.broker->counters().served == (may ? 1u : 0u));
   }
@@ -210,7 +210,7 @@
 
 void bodies_are_a_budget() {
   Core c(1000);
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   const auto first = c.send(id, 900);
   const auto second = c.send(id, 900);
   CHECK(first->end.empty() && second->end == "unavailable" && c.broker->counters().overloaded == 1);
@@ -218,19 +218,19 @@
 
 void draining_waits_for_what_is_open() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   CHECK(c.broker->phase() == core::Phase::serving);
   const auto answer = c.send(id);
   c.broker->drain();
-  c.pass_time(2 * c.limits.linger);
+  c.pass_time(2 * c.limits.drain_accept_window);
   CHECK(c.broker->phase() == core::Phase::draining);
-  c.broker->call_events({id, 0}, "a");
-  c.broker->call_ended({id, 0}, Outcome::ok);
-  c.broker->turn();
+  c.broker->on_attempt_events({id, 0}, "a");
+  c.broker->on_attempt_ended({id, 0}, Outcome::ok);
+  c.broker->run_iteration();
   CHECK(c.broker->phase() == core::Phase::draining && answer->end == "finish");
-  c.pass_time(c.limits.last_words / 2);
+  c.pass_time(c.limits.final_response_grace / 2);
   CHECK(c.broker->phase() == core::Phase::draining);
-  c.pass_time(c.limits.last_words);
+  c.pass_time(c.limits.final_response_grace);
   CHECK(c.broker->phase() == core::Phase::stopped);
 }
 
@@ -250,8 +250,8 @@
       Core heir;
       heir.ports.time = old.ports.time;
       if (own > 0) heir.list(own < 6 ? Health::ready : end, own == 9 ? 2 : 7, own);
-      heir.broker->adopt(old.broker->hand(), true);
-      heir.broker->turn();
+      heir.broker->adopt(old.broker->snapshot(), true);
+      heir.broker->run_iteration();
       const Micros limit = heir.ports.no_new_after;
       CHECK(own == 9 || limit == told + heir.limits.drain_grace);
       heir.list(Health::ready, 7, 4);
@@ -267,27 +267,27 @@
   for (const bool followed : {true, false}) {
     Core c;
     c.broker->drain(followed);
-    c.broker->expecting(1);
+    c.broker->set_partially_read_requests(1);
     c.pass_time(2 * core::kSecond);
     CHECK((c.broker->phase() == core::Phase::stopped) == !followed);
     if (!followed) continue;
-    core::RpcId id = 0;
+    core::RequestId id = 0;
     const auto answer = c.send(id);
     CHECK(answer->end.empty() && c.ports.calls.size() == 1);
-    c.broker->expecting(1);
+    c.broker->set_partially_read_requests(1);
     c.pass_time(500 * core::kMilli);
     CHECK(c.send(id)->end == "unavailable");  // by now it could be too late for its first event
-    c.broker->expecting(0);
-    c.broker->call_events({1, 0}, "a");
-    c.broker->call_ended({1, 0}, Outcome::ok);
-    c.pass_time(c.limits.last_words + 10 * core::kMilli);
+    c.broker->set_partially_read_requests(0);
+    c.broker->on_attempt_events({1, 0}, "a");
+    c.broker->on_attempt_ended({1, 0}, Outcome::ok);
+    c.pass_time(c.limits.final_response_grace + 10 * core::kMilli);
     CHECK(answer->end == "finish" && c.broker->phase() == core::Phase::stopped);
   }
 }
 
 void a_drain_answers_before_it_is_killed() {
   Core c;
-  core::RpcId id = 0;
+  core::RequestId id = 0;
   c.broker->drain();
   const auto early = c.send(id);
   CHECK(early->end.empty() && c.ports.calls.size() == 1);
@@ -298,7 +298,7 @@
   CHECK(early->end.empty());
   c.pass_time(200 * core::kMilli);
   CHECK(early->end == "fail" && c.broker->phase() == core::Phase::draining);
-  c.pass_time(c.limits.last_words + 50 * core::kMilli);
+  c.pass_time(c.limits.final_response_grace + 50 * core::kMilli);
   CHECK(c.broker->phase() == core::Phase::stopped);
 }
 
@@ -306,7 +306,7 @@
 void nothing_is_due_where_nothing_is_open() {
   Core c;
   boost::asio::io_context io(1);
-  http::HttpReplicaClient subchannels(io, *c.broker, c.ports, {});
+  http::HttpReplicaClient replica_client(io, *c.broker, c.ports, {});
   http::HttpServer front(io, *c.broker, c.ports, {{}, [] { return std::size_t{8}; }});
   CHECK(io.poll() == 0 && io.stopped());  // no timer is set
   int rung = 0;
@@ -395,7 +395,7 @@
 
 void labels_are_checked() {
   const config::Labels labels{{"a", "b"}, {"t"}, {1, 2}};
-  core::RpcRequest rpc;
+  core::Request rpc;
   CHECK(config::apply({.klass = "b", .tenant = "t", .session = "ff"}, labels, rpc).empty());
   CHECK(rpc.klass == 1 && rpc.patience == 2 && rpc.session == 255);
   CHECK(!config::apply({.klass = "c", .tenant = "t"}, labels, rpc).empty());
@@ -407,7 +407,7 @@
   CHECK(config::apply({.klass = "a", .tenant = "t", .work_hint = "1500"}, labels, rpc).empty());
   CHECK(rpc.work_hint == 1500.0);
   for (const char* none : {"", "0", "-5", "nan", "inf", "1e12", "many", "12 "}) {
-    core::RpcRequest other;
+    core::Request other;
     CHECK(config::apply({.klass = "a", .tenant = "t", .work_hint = none}, labels, other).empty());
     CHECK(other.work_hint == 0.0);
   }
@@ -415,7 +415,7 @@
 
 void lists_are_read_and_odd_entries_left_out() {
   const discovery::Names names{{"z"}, {"m1", "m2"}};
-  core::ListNews news;
+  core::EndpointListUpdate news;
   CHECK(!discovery::parse_list("{}", names, news) && !discovery::parse_list("nonsense", names, news));
   CHECK(discovery::parse_list(
       R"({"rev":7,"all":false,"targets":[5,{"uid":""},{"uid":"s","endpoint":"h:1","az":"z","model":"m2",
@@ -425,7 +425,7 @@
   CHECK(news.entries[0].replica.kind == 1 && news.entries[0].replica.health == Health::draining);
   CHECK(news.entries[0].replica.born == 2.0 && news.entries[0].replica.id == discovery::replica_id("s"));
   // A state that nobody knows is no word that a replica is gone.
-  core::ListNews odd;
+  core::EndpointListUpdate odd;
   CHECK(discovery::parse_list(
       R"({"rev":8,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"Paused"},{"uid":"t","state":"Ready"}]})",
       names, odd));
@@ -440,11 +440,11 @@
 void unreadable_entries_leave_what_is_held() {
   Core c;
   const auto whole_list = [&c](std::vector<core::ReplicaId> unreadable) {
-    core::ListNews news;
+    core::EndpointListUpdate news;
     news.kind = flintglade::policy::ListKind::full;
     news.unreadable = std::move(unreadable);
-    c.broker->list_news(std::move(news));
-    c.broker->turn();
+    c.broker->on_endpoint_list_update(std::move(news));
+    c.broker->run_iteration();
     return c.ports.no_new_after;
   };
   CHECK(whole_list({1}) == core::kNever);
@@ -615,7 +615,7 @@
   CHECK(mapped({}).expires_ms == "1");
   for (const char* bad : {"-5", "soon", "99999999999999999999"}) {
     timeout.set_string_param(bad);
-    core::RpcRequest rpc;
+    core::Request rpc;
     metadata["flintglade-class"] = "chat";
     CHECK(config::apply(mapped({}).labels(), {{"chat"}, {}, {core::kSecond}}, rpc) ==
           "the time to wait is no number of milliseconds");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -128,7 +128,7 @@
   const auto allow_bytes = hex("7b14ae47e17ab43f");
   std::copy(allow_bytes.begin(), allow_bytes.end(), reinterpret_cast<std::uint8_t*>(&allow));
   w.attempt(0x0006ae6f5d3a91c4u, worker({0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b}), allow);
-  w.set_alarm(span, 0x4d);
+  w.set_timer(span, 0x4d);
   EXPECT_EQ(to_hex(w.finish()),
             "03000000"
             "39000000"
@@ -146,7 +146,7 @@
   w.fail(3);
   w.set_instance(4);
   w.stop_attempt(5, 6);
-  w.observe(true);
+  w.subscribe(true);
   w.bail_out("no");
   EXPECT_EQ(to_hex(w.finish()).substr(16),
             "4e0400000001000000"
