--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -7,9 +7,9 @@
 // Instances are independent; one instance is used by one thread at a time. Nothing here throws, apart from
 // running out of memory. The sink is borrowed for the call only; string views are valid for the call only.
 //
-// Call order: construct, on_list with the list known at the start, then events as they come. A query that
-// comes before any list is held for a part of its time, in the hope of one. Ids of requests that are unknown
-// or over are passed over.
+// Call order: construct, on_endpoint_list with the list known at the start, then events as they come. A query
+// that comes before any list is held for a part of its time, in the hope of one. Ids of requests that are
+// unknown or over are passed over.
 #pragma once
 
 #include <cstddef>
@@ -21,10 +21,10 @@
 namespace flintglade::policy {
 
 using RequestId = std::uint64_t;
-using WorkerId = std::uint64_t;  // opaque; ordered only to break ties between equal start times
+using ReplicaId = std::uint64_t;  // opaque; ordered only to break ties between equal start times
 
-enum class Semantics { safe, keyed, unsafe };
-enum class Group { all, zone, cell };
+enum class Semantics { idempotent, idempotency_key, not_idempotent };
+enum class IdempotencyScope { all, zone, cell };
 enum class WeightSource { silent, nominal, rough, live };
 enum class Health : std::uint8_t { gone = 0, ready = 1, draining = 2 };
 enum class ListKind : std::uint8_t { delta = 0, cached = 1, full = 2, failed = 3 };
@@ -40,14 +40,14 @@
 };
 
 struct ClassSettings {
-  double aim = 1.0;         // seconds to the answer (to the first token, if streamed) for full worth
-  double hard_limit = 5.0;  // the client's total wait
-  double worth = 1.0;
-  double late_value = 0.0;    // share of the worth paid between aim and deadline
-  double aim_per_1000 = 0.0;  // seconds of aim for each 1,000 prompt tokens
-  double key_ttl = 5.0;       // keyed: how long a group drops repeats
-  Semantics semantics = Semantics::safe;
-  Group group = Group::all;
+  double latency_objective = 1.0;  // seconds to the answer (to the first token, if streamed) for full worth
+  double hard_limit = 5.0;         // the client's total wait
+  double priority_weight = 1.0;
+  double late_value = 0.0;                         // share of the worth paid between aim and deadline
+  double latency_objective_per_1000_tokens = 0.0;  // seconds of aim for each 1,000 prompt tokens
+  double key_ttl = 5.0;                            // keyed: how long a group drops repeats
+  Semantics semantics = Semantics::idempotent;
+  IdempotencyScope idempotency_scope = IdempotencyScope::all;
   bool streamed = false;
 };
 
@@ -63,8 +63,8 @@
   int rank = 0;
   int zone = 0;
   int zones = 1;
-  double over_share_worth = 1.0;
-  bool worth_by_work = false;
+  double over_quota_weight = 1.0;
+  bool priority_weight_by_work = false;
   bool list_on_request = false;
   bool list_pushed = false;  // by an agent beside the router, which answers at once and costs nothing to ask
   bool marks_retry = false;
@@ -75,7 +75,7 @@
   bool may_probe = false;
   bool may_peer = false;
   bool retry_after = false;
-  int most_tries = 1;
+  int max_attempts = 1;
   double max_retry_after = 0.0;
   double price_cross_zone = 0.0;
   double price_waste = 0.0;
@@ -92,28 +92,28 @@
   int slots = 0;
 };
 
-struct Worker {
-  WorkerId id = 0;
+struct Replica {
+  ReplicaId id = 0;
   std::uint32_t zone = 0;
   std::uint32_t kind = 0;
   std::uint32_t cell = 0;
   Health health = Health::gone;
   double size = 1.0;
-  double born = 0.0;  // time of the latest start; 0 = long past
+  double started_at = 0.0;  // time of the latest start; 0 = long past
 };
 
-struct ListChange {
+struct EndpointListChange {
   ListKind kind = ListKind::failed;
   std::uint32_t version = 0;
-  std::vector<Worker> workers;
+  std::vector<Replica> replicas;
 };
 
 // Whether a request is within its tenant's quota, where somebody knows better than this router alone.
-enum class Budget : std::uint8_t { unknown = 0, within = 1, over = 2 };
+enum class QuotaStatus : std::uint8_t { unknown = 0, within = 1, over = 2 };
 
-struct Query {
+struct NewRequest {
   RequestId id = 0;
-  std::uint32_t klass = 0;
+  std::uint32_t request_class = 0;
   std::uint32_t tenant = 0;
   std::uint64_t key = 0;  // session; 0 = none
   double deadline = 0.0;
@@ -125,20 +125,20 @@
   bool is_retry = false;
   bool is_write = false;
   bool resumed = false;
-  Budget budget = Budget::unknown;
+  QuotaStatus quota_status = QuotaStatus::unknown;
 };
 
-struct Accepted {
+struct FirstEvent {
   RequestId id = 0;
   std::uint32_t attempt = 0;
-  WorkerId worker = 0;
+  ReplicaId replica = 0;
   double latency = 0.0;
 };
 
-struct Response {
+struct AttemptResult {
   RequestId id = 0;
   std::uint32_t attempt = 0;
-  WorkerId worker = 0;
+  ReplicaId replica = 0;
   Outcome outcome = Outcome::error;
   double latency = 0.0;
   bool closed = false;
@@ -146,8 +146,8 @@
   std::vector<float> report;
 };
 
-struct Pong {
-  WorkerId worker = 0;
+struct HealthCheckResult {
+  ReplicaId replica = 0;
   Outcome outcome = Outcome::error;
   double latency = 0.0;
   std::vector<float> report;
@@ -159,9 +159,9 @@
  public:
   virtual ~ActionSink() = default;
   // allow_for = 0: until the client gives up.
-  virtual void attempt(RequestId id, WorkerId worker, double allow_for) = 0;
-  virtual void busy(RequestId id, double not_before_for) = 0;  // final: refused, a retry is harmless
-  virtual void fail(RequestId id) = 0;                         // final: failed
+  virtual void attempt(RequestId id, ReplicaId replica, double allow_for) = 0;
+  virtual void reject(RequestId id, double not_before_for) = 0;  // final: refused, a retry is harmless
+  virtual void fail(RequestId id) = 0;                           // final: failed
   virtual void stop_attempt(RequestId id, std::uint16_t attempt) = 0;
   virtual void set_timer(double span, std::uint64_t cookie) = 0;
   virtual void subscribe(bool on) = 0;  // subscribe to list changes
@@ -174,18 +174,18 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  void on_list(double now, const ListChange& change, ActionSink& sink);
-  void on_query(double now, const Query& query, ActionSink& sink);
-  void on_accepted(double now, const Accepted& accepted, ActionSink& sink);
-  void on_response(double now, const Response& response, ActionSink& sink);
-  void on_gone(double now, RequestId id, ActionSink& sink);
-  void on_wake(double now, std::uint64_t cookie, ActionSink& sink);
-  void on_pong(double now, const Pong& pong, ActionSink& sink);
-  void on_peer(double now, std::uint32_t from, std::string_view bytes, ActionSink& sink);
+  void on_endpoint_list(double now, const EndpointListChange& change, ActionSink& sink);
+  void on_request(double now, const NewRequest& query, ActionSink& sink);
+  void on_first_event(double now, const FirstEvent& accepted, ActionSink& sink);
+  void on_attempt_result(double now, const AttemptResult& response, ActionSink& sink);
+  void on_client_disconnected(double now, RequestId id, ActionSink& sink);
+  void on_timer(double now, std::uint64_t cookie, ActionSink& sink);
+  void on_health_check_result(double now, const HealthCheckResult& pong, ActionSink& sink);
+  void on_gossip(double now, std::uint32_t from, std::string_view bytes, ActionSink& sink);
   // Others have seen this worker fail. It is passed over for so long, at the most 10 s, or until it serves
   // one of this router's requests; like one that could not be reached it is picked where nothing else is
   // left.
-  void on_warning(double now, WorkerId worker, double span);
+  void on_health_warning(double now, ReplicaId replica, double span);
   // How many of the ready workers it now passes over: out of reach, full, or trusted with less than half of
   // their keys for how they answer. A cold one is not passed over. For whoever watches; changes nothing.
   std::size_t avoided(double now) const;
--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -152,14 +152,15 @@
 void SharedStateBridge::on_request_finished(const core::Request& rpc, RequestOutcome outcome) {
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   const std::size_t team = std::min<std::size_t>(rpc.tenant, config_.tenants.size());
-  const std::size_t klass = std::min<std::size_t>(rpc.klass, classes - 1);
-  coordination::Count& c = counts_[team * classes + klass];
+  const std::size_t request_class = std::min<std::size_t>(rpc.request_class, classes - 1);
+  coordination::Count& c = counts_[team * classes + request_class];
   if (outcome == RequestOutcome::refused) return c.set_refused(c.refused() + 1);
   if (outcome == RequestOutcome::failed) return c.set_failed(c.failed() + 1);
   c.set_served(c.served() + 1);
   c.set_tokens(c.tokens() + static_cast<std::uint64_t>(std::max(0.0, rpc.prompt_tokens + rpc.output_cap)));
-  if (klass < config_.module.classes.size())
-    c.set_worth(c.worth() + static_cast<std::uint64_t>(1000.0 * config_.module.classes[klass].worth));
+  if (request_class < config_.module.classes.size())
+    c.set_worth(c.worth() +
+                static_cast<std::uint64_t>(1000.0 * config_.module.classes[request_class].priority_weight));
 }
 
 // ---- between the two threads
--- a/src/config/labels.cpp
+++ b/src/config/labels.cpp
@@ -41,10 +41,10 @@
 }
 
 std::string apply(const RequestLabels& request, const Labels& labels, core::Request& out) {
-  if (!position(labels.classes, request.klass, out.klass)) return "the class is unknown";
+  if (!position(labels.classes, request.request_class, out.request_class)) return "the class is unknown";
   if (!labels.tenants.empty() && !position(labels.tenants, request.tenant, out.tenant))
     return "the tenant is unknown";
-  out.patience = labels.patience[out.klass];
+  out.patience = labels.patience[out.request_class];
   if (!request.expires_ms.empty()) {
     std::int64_t ms = 0;
     if (!to_number(request.expires_ms, ms) || ms < 0 || ms > kLongestWaitMs)
--- a/src/config/labels.h
+++ b/src/config/labels.h
@@ -18,8 +18,8 @@
 
 // The raw text of what a request says of itself; empty where it says nothing.
 struct RequestLabels {
-  std::string_view klass{}, tenant{}, session{}, prefix{}, prompt_tokens{}, prefix_tokens{}, output_cap{},
-      expires_ms{}, again{}, work_hint{};
+  std::string_view request_class{}, tenant{}, session{}, prefix{}, prompt_tokens{}, prefix_tokens{},
+      output_cap{}, expires_ms{}, again{}, work_hint{};
 };
 
 // FNV-1a: the same on every router and after every restart.
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -180,14 +180,14 @@
   ++counters_.migrated_out;
   call->out = false;
   close(*rpc);
-  module_.on_gone(to_seconds(now_), r.id, *this);
-  policy::Response gone;
+  module_.on_client_disconnected(to_seconds(now_), r.id, *this);
+  policy::AttemptResult gone;
   gone.id = r.id;
   gone.attempt = r.call.attempt;
-  gone.worker = r.replica;
+  gone.replica = r.replica;
   gone.outcome = Outcome::moot;  // to this process's module: nothing is learned of how it ends
   gone.closed = true;
-  module_.on_response(to_seconds(now_), gone, *this);
+  module_.on_attempt_result(to_seconds(now_), gone, *this);
   drop_if_done(r.id, *rpc);
 }
 
@@ -318,11 +318,11 @@
     ++(too_late ? counters_.unavailable : counters_.overloaded);
     return refuse_unseen(e, kSecond);
   }
-  SharedStatePort::QuotaDecision word;
-  if (shared_state_ != nullptr) word = shared_state_->check_quota(now_, *e.request);
-  if (word.standing == SharedStatePort::QuotaStatus::refused) {
+  SharedStatePort::QuotaDecision quota;
+  if (shared_state_ != nullptr) quota = shared_state_->check_quota(now_, *e.request);
+  if (quota.status == SharedStatePort::QuotaStatus::refused) {
     ++counters_.over_budget;
-    return refuse_unseen(e, word.again);
+    return refuse_unseen(e, quota.retry_after);
   }
   Rpc& rpc = rpcs_[e.id];
   rpc.request = std::move(e.request);
@@ -334,7 +334,7 @@
   wake(rpc.deadline + settings_.answer_grace, Overdue{e.id});
   if (phase_ == Phase::draining) wake(drain_from_ + settings_.drain_limit, Overdue{e.id});
   const Request& r = *rpc.request;
-  policy::Query q;
+  policy::NewRequest q;
   q.id = e.id;
   q.request_class = r.request_class;
   q.tenant = r.tenant;
@@ -347,10 +347,10 @@
   q.hint = r.work_hint;
   q.is_retry = r.is_retry;
   q.resumed = r.resumed;
-  if (word.standing != SharedStatePort::QuotaStatus::unknown)
-    q.budget =
-        word.standing == SharedStatePort::QuotaStatus::over ? policy::Budget::over : policy::Budget::within;
-  module_.on_query(to_seconds(now_), q, *this);
+  if (quota.status != SharedStatePort::QuotaStatus::unknown)
+    q.quota_status = quota.status == SharedStatePort::QuotaStatus::over ? policy::QuotaStatus::over
+                                                                        : policy::QuotaStatus::within;
+  module_.on_request(to_seconds(now_), q, *this);
 }
 
 void Broker::refuse_unseen(Arrived& e, Micros again) {
@@ -361,7 +361,7 @@
   e.response_writer->reject(again, false);
 }
 
-void Broker::take(Warned& e) { module_.on_warning(to_seconds(now_), e.replica, to_seconds(e.span)); }
+void Broker::take(Warned& e) { module_.on_health_warning(to_seconds(now_), e.replica, to_seconds(e.span)); }
 
 void Broker::take(Gone& e) {
   Rpc* rpc = find(e.id);
@@ -369,7 +369,7 @@
   ++counters_.gone;
   if (trace_) trace_({Trace::What::gone, e.id, 0, 0, "", now_ - rpc->came});
   close(*rpc);
-  module_.on_gone(to_seconds(now_), e.id, *this);
+  module_.on_client_disconnected(to_seconds(now_), e.id, *this);
   // The stream's own attempt is the core's to end: the module may not cancel one that has started. Its
   // replica may work on; its outcome is told all the same.
   const auto calls = static_cast<std::uint32_t>(rpc->calls.size());
@@ -393,7 +393,7 @@
     ++counters_.failed;
     ++counters_.rejected;
     close(*rpc, &Answers::failed)->fail(Failure::rejected);
-    module_.on_gone(to_seconds(now_), e.id.rpc, *this);
+    module_.on_client_disconnected(to_seconds(now_), e.id.rpc, *this);
   }
   end_call(e.id, *rpc, *call, Outcome::cancelled);
 }
@@ -449,7 +449,7 @@
   if (e.kind != ListKind::cached) heard_ = true;
   if (e.kind != ListKind::failed) version_ = e.version;
   if (e.kind == ListKind::full || e.kind == ListKind::delta) listed_ = true;
-  policy::ListChange change;
+  policy::EndpointListChange change;
   change.kind = e.kind;
   change.version = e.version;
   if (e.kind == ListKind::full || e.kind == ListKind::cached) {
@@ -470,7 +470,7 @@
     return true;
   });
   for (const Endpoint& entry : e.entries) {
-    change.workers.push_back(entry.replica);
+    change.replicas.push_back(entry.replica);
     const ReplicaId id = entry.replica.id;
     replicas_[id] = entry;
     if (entry.replica.health == Health::ready) {
@@ -487,7 +487,7 @@
     }
   }
   serve_if_ready();
-  module_.on_list(to_seconds(now_), change, *this);
+  module_.on_endpoint_list(to_seconds(now_), change, *this);
 }
 
 void Broker::serve_if_ready() {
@@ -503,7 +503,7 @@
     return nullptr;
   const Retired& retired = it->second;
   const bool overtaken = news.version < retired.version && now_ < retired.since + settings_.list_lag &&
-                         entry.replica.born <= held->second.replica.born;
+                         entry.replica.started_at <= held->second.replica.started_at;
   return overtaken ? &retired : nullptr;
 }
 
@@ -514,7 +514,7 @@
 
 void Broker::ring(const Alarm& alarm) {
   if (const auto* m = std::get_if<ModuleAlarm>(&alarm.what)) {
-    module_.on_wake(to_seconds(now_), m->cookie, *this);
+    module_.on_timer(to_seconds(now_), m->cookie, *this);
   } else if (const auto* c = std::get_if<AttemptExpiry>(&alarm.what)) {
     Rpc* rpc = nullptr;
     AttemptState* call = find_out(c->id, rpc);
@@ -558,7 +558,7 @@
   ++counters_.failed;
   if (trace_) trace_({Trace::What::failed, id, 0, 0, "overdue", now_ - rpc->came});
   close(*rpc, &Answers::failed)->fail(now_ >= rpc->deadline ? Failure::deadline : Failure::error);
-  module_.on_gone(to_seconds(now_), id, *this);
+  module_.on_client_disconnected(to_seconds(now_), id, *this);
   drop_if_done(id, *rpc);
 }
 
@@ -604,14 +604,14 @@
 // The client gets this attempt's answer, and no other's.
 void Broker::bind(AttemptId id, Rpc& rpc, const AttemptState& call) {
   rpc.bound = static_cast<int>(id.attempt);
-  policy::Accepted a;
+  policy::FirstEvent a;
   a.id = id.rpc;
   a.attempt = id.attempt;
-  a.worker = call.replica;
+  a.replica = call.replica;
   a.latency = to_seconds(now_ - call.sent);
   if (shared_state_ != nullptr) shared_state_->on_first_event(now_, call.replica);
   if (trace_) trace_({Trace::What::bound, id.rpc, id.attempt, call.replica, "", now_ - call.sent});
-  module_.on_accepted(to_seconds(now_), a, *this);
+  module_.on_first_event(to_seconds(now_), a, *this);
 }
 
 // Its client is gone, and a replica may well work on: engines often finish what they have begun. The call is
@@ -654,26 +654,26 @@
     ++counters_.broken;
     close(rpc, &Answers::failed)->abort_stream();
   }
-  policy::Response r;
+  policy::AttemptResult r;
   r.id = id.rpc;
   r.attempt = id.attempt;
-  r.worker = call.replica;
+  r.replica = call.replica;
   r.outcome = outcome;
   r.latency = to_seconds(now_ - call.sent);
   r.closed = rpc.over();
   r.note = kept;
   r.report = std::move(report);
-  module_.on_response(to_seconds(now_), r, *this);
+  module_.on_attempt_result(to_seconds(now_), r, *this);
   drop_if_done(id.rpc, rpc);
 }
 
 // ---- the module's actions
 // -----------------------------------------------------------------------------------
 
-void Broker::attempt(RequestId id, ReplicaId worker, double allow_for) {
-  actions_.push_back(Attempt{id, worker, allow_for});
+void Broker::attempt(RequestId id, ReplicaId replica, double allow_for) {
+  actions_.push_back(Attempt{id, replica, allow_for});
 }
-void Broker::busy(RequestId id, double not_before_for) { actions_.push_back(Busy{id, not_before_for}); }
+void Broker::reject(RequestId id, double not_before_for) { actions_.push_back(Reject{id, not_before_for}); }
 void Broker::fail(RequestId id) { actions_.push_back(Fail{id}); }
 void Broker::stop_attempt(RequestId id, std::uint16_t attempt) {
   actions_.push_back(StopAttempt{{id, attempt}});
@@ -698,7 +698,7 @@
   replica_client(*rpc).start_attempt(id, a.replica, rpc->request, allowed);
 }
 
-void Broker::carry_out(const Busy& a) {
+void Broker::carry_out(const Reject& a) {
   Rpc* rpc = find(a.id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
   ++counters_.unavailable;
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -196,7 +196,7 @@
     ReplicaId replica;
     double allow_for;
   };
-  struct Busy {
+  struct Reject {
     RequestId id;
     double not_before_for;
   };
@@ -213,7 +213,7 @@
   struct Subscribe {
     bool on;
   };
-  using Action = std::variant<Attempt, Busy, Fail, StopAttempt, SetTimer, Subscribe>;
+  using Action = std::variant<Attempt, Reject, Fail, StopAttempt, SetTimer, Subscribe>;
 
   struct ModuleAlarm {
     std::uint64_t cookie;
@@ -244,8 +244,8 @@
   };
 
   // ActionSink: only collects; carry_out does the work once the module has seen the whole turn.
-  void attempt(RequestId id, ReplicaId worker, double allow_for) override;
-  void busy(RequestId id, double not_before_for) override;
+  void attempt(RequestId id, ReplicaId replica, double allow_for) override;
+  void reject(RequestId id, double not_before_for) override;
   void fail(RequestId id) override;
   void stop_attempt(RequestId id, std::uint16_t attempt) override;
   void set_timer(double span, std::uint64_t cookie) override;
@@ -261,7 +261,7 @@
   void take(Warned& e);
 
   void carry_out(const Attempt& a);
-  void carry_out(const Busy& a);
+  void carry_out(const Reject& a);
   void carry_out(const Fail& a);
   void carry_out(const StopAttempt& a);
   void carry_out(const SetTimer& a);
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -22,7 +22,7 @@
 inline constexpr Micros kHoldUp = 150 * kMilli;
 
 using RequestId = policy::RequestId;
-using ReplicaId = policy::WorkerId;
+using ReplicaId = policy::ReplicaId;
 
 struct AttemptId {  // one call attempt of an RPC
   RequestId rpc = 0;
@@ -80,7 +80,7 @@
 };
 
 struct Endpoint {
-  policy::Worker replica;
+  policy::Replica replica;
   std::string address;  // host:port
 };
 
--- a/src/discovery/boot_clock.cpp
+++ b/src/discovery/boot_clock.cpp
@@ -14,9 +14,9 @@
 void BootClock::known(Micros now, core::EndpointListUpdate& news) {
   if (starts_.size() > 4 * kMostEntries) starts_.clear();  // ids that come and go for months
   for (core::Endpoint& entry : news.entries) {
-    if (entry.replica.born <= 0.0) continue;  // long ago
-    const auto unix_time = static_cast<Micros>(entry.replica.born * 1e6);
-    entry.replica.born = static_cast<double>(monotonic(now, entry.replica.id, unix_time)) / 1e6;
+    if (entry.replica.started_at <= 0.0) continue;  // long ago
+    const auto unix_time = static_cast<Micros>(entry.replica.started_at * 1e6);
+    entry.replica.started_at = static_cast<double>(monotonic(now, entry.replica.id, unix_time)) / 1e6;
   }
 }
 
--- a/src/discovery/entries.cpp
+++ b/src/discovery/entries.cpp
@@ -56,7 +56,7 @@
     e.replica.cell = static_cast<std::uint32_t>(std::clamp(number(entry, "pod_group", 0.0), 0.0, 1e9));
     e.replica.size = number(entry, "capacity_hint", 1.0);
     const double boot_ms = number(entry, "boot_ms", 0.0);
-    if (boot_ms > 0.0 && boot_ms < 1e15) e.replica.born = boot_ms / 1e3;
+    if (boot_ms > 0.0 && boot_ms < 1e15) e.replica.started_at = boot_ms / 1e3;
     out.entries.push_back(std::move(e));
   }
   return true;
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -173,7 +173,7 @@
   for (const auto& [id, entry] : source.listed) {
     const core::Endpoint*& at = occupants[entry.address];
     const auto rank = [](const core::Endpoint& e) {
-      return std::tuple(e.replica.health == Health::ready, e.replica.born, e.replica.id);
+      return std::tuple(e.replica.health == Health::ready, e.replica.started_at, e.replica.id);
     };
     if (at == nullptr || rank(*at) < rank(entry)) at = &entry;
   }
@@ -386,10 +386,11 @@
       v.endpoint.replica.size = sum.best->size;
       // DNS tells no start. One that joins a set which is already known has most likely just started, and a
       // cold replica may not be pushed over.
-      if (sum.best->new_since) v.endpoint.replica.born = static_cast<double>(sum.best->since) / 1e6;
+      if (sum.best->new_since) v.endpoint.replica.started_at = static_cast<double>(sum.best->since) / 1e6;
       if (const auto old = verdicts_.find(address);
           old != verdicts_.end() && old->second.endpoint.replica.health == Health::ready && sum.rank >= 3)
-        v.endpoint.replica.born = old->second.endpoint.replica.born;  // it runs: it has not started anew
+        v.endpoint.replica.started_at =
+            old->second.endpoint.replica.started_at;  // it runs: it has not started anew
     }
     v.endpoint.address = address;
     v.endpoint.replica.id = replica_id(address);
@@ -475,7 +476,7 @@
     if (it == told_.end() && r.health == Health::gone) continue;
     if (it != told_.end()) {
       const auto& o = it->second.replica;
-      if (o.health == r.health && o.size == r.size && o.born == r.born && o.zone == r.zone &&
+      if (o.health == r.health && o.size == r.size && o.started_at == r.started_at && o.zone == r.zone &&
           o.kind == r.kind && o.cell == r.cell)
         continue;
     }
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -215,8 +215,8 @@
     to.set_cell(e.replica.cell);
     to.set_health(static_cast<std::uint32_t>(e.replica.health));
     to.set_size(e.replica.size);
-    if (e.replica.born != 0.0)
-      to.set_born_unix_us(std::llround(e.replica.born * 1e6) + writer.unix_less_monotonic);
+    if (e.replica.started_at != 0.0)
+      to.set_born_unix_us(std::llround(e.replica.started_at * 1e6) + writer.unix_less_monotonic);
   }
   for (const core::Broker::ProcessSnapshot::RetiredReplica& w : from.retired) {
     State::Word& to = *state.add_retired();
@@ -265,7 +265,7 @@
     e.replica.size = from.size();
     // By the reader's own offset, as the list will tell it: the same start may not look like another.
     if (from.born_unix_us() != 0)
-      e.replica.born = static_cast<double>(from.born_unix_us() - reader.unix_less_monotonic) / 1e6;
+      e.replica.started_at = static_cast<double>(from.born_unix_us() - reader.unix_less_monotonic) / 1e6;
     out.entries.push_back(std::move(e));
   }
   for (const State::Word& from : state.retired())
--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -83,7 +83,7 @@
   out.trace_id = view(request["X-Trace-Id"]);
   if (out.trace_id.empty()) return "X-Trace-Id is missing";
   config::RequestLabels said;
-  said.klass = view(request["X-Qos"]);
+  said.request_class = view(request["X-Qos"]);
   said.tenant = view(request["X-Customer"]);
   said.session = view(request["X-Object"]);
   said.expires_ms = view(request["X-Expires-In-Ms"]);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -329,7 +329,7 @@
     if (owner_->crowded()) {
       // The kernel takes clients in whether we accept them or not, and what they have sent then counts as
       // taken. Rather than leave them waiting in the listener's queue, tell them at once to come again.
-      owner_->broker_.on_request_shed(rpc->klass);
+      owner_->broker_.on_request_shed(rpc->request_class);
       wanted_back_ = true;
       respond(503, kTooMany, kComeAgain);
       return write();
--- a/src/http/stream_migration.cpp
+++ b/src/http/stream_migration.cpp
@@ -11,7 +11,7 @@
                           replicas_.describe(r.call, stream)};
     if (fds[0] < 0 || fds[1] < 0) continue;
     stream.set_trace_id(r.request->trace_id);
-    stream.set_klass(r.request->klass);
+    stream.set_klass(r.request->request_class);
     stream.set_tenant(r.request->tenant);
     stream.set_replica(r.replica);
     stream.set_came_us(r.came);
@@ -34,7 +34,7 @@
   core::Broker::MigratableStream r;
   const auto request = std::make_shared<core::Request>();
   request->trace_id = stream.trace_id();
-  request->klass = stream.klass();
+  request->request_class = stream.klass();
   request->tenant = stream.tenant();
   r.request = request;
   r.replica = stream.replica();
--- a/src/kserve/mapping.cpp
+++ b/src/kserve/mapping.cpp
@@ -84,7 +84,8 @@
 }  // namespace
 
 config::RequestLabels Mapped::labels() const {
-  return {klass, tenant, session, prefix, prompt_tokens, prefix_tokens, output_cap, expires_ms, again};
+  return {request_class, tenant,     session,    prefix, prompt_tokens,
+          prefix_tokens, output_cap, expires_ms, again};
 }
 
 Mapped map_request(const inference::ModelInferRequest& request, const Model& model, const Mapping& m,
@@ -92,7 +93,8 @@
   static const Bound kNone;
   const Bound& by_certificate = bound == nullptr ? kNone : *bound;
   Mapped out;
-  out.klass = find(m.klass, kClass, request, model.klass, metadata, by_certificate.klass);
+  out.request_class =
+      find(m.request_class, kClass, request, model.request_class, metadata, by_certificate.request_class);
   out.tenant = find(m.tenant, kTenant, request, model.tenant, metadata, by_certificate.tenant);
   if (bound != nullptr && out.tenant != bound->tenant)
     out.denied = "the client's certificate does not speak for this tenant";
@@ -133,7 +135,7 @@
     if (own == kClass || own == kTenant) out += ", certificate";
     out += std::string(", ") + (f.otherwise.empty() ? last : "else '" + f.otherwise + "'") + "\n";
   };
-  line("class", m.klass, kClass, "the model's, else refused");
+  line("class", m.request_class, kClass, "the model's, else refused");
   line("tenant", m.tenant, kTenant, "the model's, else refused where the site has tenants");
   line("session", m.session, kSession, "else none");
   line("prefix", m.prefix, kPrefix, "else none");
--- a/src/kserve/mapping.h
+++ b/src/kserve/mapping.h
@@ -21,7 +21,8 @@
 using FindMetadata = std::function<std::string_view(const std::string& name)>;
 
 struct Mapped {  // owns what config::RequestLabels points at
-  std::string klass, tenant, session, prefix, prompt_tokens, prefix_tokens, output_cap, expires_ms, again;
+  std::string request_class, tenant, session, prefix, prompt_tokens, prefix_tokens, output_cap, expires_ms,
+      again;
   std::string denied;  // what it may not claim; empty: nothing
   config::RequestLabels labels() const;
 };
--- a/src/kserve/models.h
+++ b/src/kserve/models.h
@@ -21,7 +21,7 @@
   std::string name, platform;
   std::vector<std::string> versions;
   std::vector<Tensor> inputs, outputs;
-  std::string klass, tenant;                   // of requests that say none
+  std::string request_class, tenant;           // of requests that say none
   bool decoupled = false;                      // may answer with no message
   const std::string& highest_version() const;  // of those listed, in numbers; empty: none is
 };
@@ -31,7 +31,7 @@
   std::string otherwise;
 };
 struct Mapping {
-  MappedField klass, tenant, session, prefix, prompt_tokens, prefix_tokens, output_tokens, timeout_us;
+  MappedField request_class, tenant, session, prefix, prompt_tokens, prefix_tokens, output_tokens, timeout_us;
 };
 struct Limits {
   std::size_t streams = 2048, streams_per_connection = 256, transport_mb = 32, connections = 64;
@@ -44,7 +44,7 @@
   double ttl_s = 60.0, stale_s = 3600.0;
 };
 struct Bound {  // a certificate with this name speaks for this tenant
-  std::string san, tenant, klass;
+  std::string san, tenant, request_class;
 };
 struct ServerSettings {
   config::HostPort listen;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -19,9 +19,10 @@
 // A request is judged by the work of those before it: by its own, the largest of a class would be thinned
 // most.
 bool Admission::rejects(const Request& request, std::size_t its_class, double random) {
-  const double worth = settings_.classes[its_class].worth;
+  const double priority_weight = settings_.classes[its_class].priority_weight;
   double& work = learned_.class_work[its_class];
-  const double value = std::max(1e-9, settings_.worth_by_work ? worth : worth / std::max(0.05, work));
+  const double value = std::max(
+      1e-9, settings_.priority_weight_by_work ? priority_weight : priority_weight / std::max(0.05, work));
   work += kClassWeight * (request.work - work);
   follow(learned_.mean_value, value, kClassWeight);
   if (request.excess) return learned_.admit < kExcessFrom;
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -16,7 +16,7 @@
 
 #include "policy/admission.h"
 #include "policy/learned_state.h"
-#include "policy/replica.h"
+#include "policy/replica_state.h"
 #include "policy/request.h"
 #include "policy/retry_rules.h"
 #include "policy/settings_validation.h"
@@ -91,7 +91,7 @@
       : settings_(within_bounds(std::move(settings))), seed_(seed) {
     double aims = 0.0;
     for (const ClassSettings& c : settings_.classes) {
-      aims += c.aim;
+      aims += c.latency_objective;
       longest_ = std::max(longest_, c.hard_limit);
     }
     memory_ = std::max(kMemoryAims * aims / static_cast<double>(settings_.classes.size()), 1.0);
@@ -116,7 +116,7 @@
   }
 
   // ---- the list -------------------------------------------------------------------------------------------
-  void on_list(const ListChange& change) {
+  void on_endpoint_list(const EndpointListChange& change) {
     if (change.kind == ListKind::failed) {
       // The last list stays in force. Ask again after a growing, jittered wait: a list service that fails is
       // most often one that all routers ask at once.
@@ -132,20 +132,20 @@
       list_failures_ = 0;
     }
     if (change.kind != ListKind::delta) {
-      for (Replica& r : replicas_) r.worker.health = Health::gone;
+      for (ReplicaState& r : replicas_) r.replica.health = Health::gone;
     }
-    for (const Worker& w : change.workers) take_entry(w);
+    for (const Replica& w : change.replicas) take_entry(w);
     rebuild();
   }
 
   // ---- from one process to the next -----------------------------------------------------------------------
   LearnedState learned() const {
     LearnedState out = past_;
-    for (const Replica& r : replicas_) {
-      if (r.worker.health != Health::gone) out.replicas[r.worker.id] = r;
+    for (const ReplicaState& r : replicas_) {
+      if (r.replica.health != Health::gone) out.replicas[r.replica.id] = r;
     }
-    for (int r : all_.slots) out.slots.push_back(replicas_[r].worker.id);
-    for (int r : own_.slots) out.own_slots.push_back(replicas_[r].worker.id);
+    for (int r : all_.slots) out.slots.push_back(replicas_[r].replica.id);
+    for (int r : own_.slots) out.own_slots.push_back(replicas_[r].replica.id);
     return out;
   }
   // All but what is out: that is counted where it was sent.
@@ -164,9 +164,9 @@
     for (auto [ids, table] : {std::pair(&from.slots, &all_), std::pair(&from.own_slots, &own_)}) {
       if (settings_.slots > 0) break;
       table->slots.clear();
-      for (const WorkerId id : *ids) {
+      for (const ReplicaId id : *ids) {
         const auto [it, fresh] = index_.try_emplace(id, static_cast<int>(replicas_.size()));
-        if (fresh) replicas_.emplace_back().worker.id = id;
+        if (fresh) replicas_.emplace_back().replica.id = id;
         table->slots.push_back(it->second);
       }
       table->standing.assign(table->slots.size(), false);
@@ -175,15 +175,15 @@
     rebuild();
   }
 
-  void take_entry(const Worker& w) {
+  void take_entry(const Replica& w) {
     auto [it, fresh] = index_.try_emplace(w.id, static_cast<int>(replicas_.size()));
     if (fresh) replicas_.emplace_back();
-    Replica& r = replicas_[it->second];
-    const bool restarted = fresh || w.born != r.worker.born;
-    const double size = r.worker.size;
-    r.worker = w;
-    r.worker.size = w.size > 0.0F && std::isfinite(w.size) ? w.size : (fresh ? 1.0 : size);
-    r.worker.born = sane(w.born, -1e300, now_);
+    ReplicaState& r = replicas_[it->second];
+    const bool restarted = fresh || w.started_at != r.replica.started_at;
+    const double size = r.replica.size;
+    r.replica = w;
+    r.replica.size = w.size > 0.0F && std::isfinite(w.size) ? w.size : (fresh ? 1.0 : size);
+    r.replica.started_at = sane(w.started_at, -1e300, now_);
     if (!restarted) return;
     r.health = 1.0;
     r.health_at = now_;
@@ -201,13 +201,13 @@
       if (replicas_[i].ready()) order.push_back(static_cast<int>(i));
     }
     std::sort(order.begin(), order.end(), [this](int a, int b) {
-      const Worker &x = replicas_[a].worker, &y = replicas_[b].worker;
-      return x.born != y.born ? x.born < y.born : x.id < y.id;
+      const Replica &x = replicas_[a].replica, &y = replicas_[b].replica;
+      return x.started_at != y.started_at ? x.started_at < y.started_at : x.id < y.id;
     });
     size_replicas();
     all_.update(replicas_, order, settings_.slots);
     std::erase_if(order,
-                  [this](int r) { return static_cast<int>(replicas_[r].worker.zone) != settings_.zone; });
+                  [this](int r) { return static_cast<int>(replicas_[r].replica.zone) != settings_.zone; });
     own_.update(replicas_, order, settings_.slots);
     stale_ = true;
   }
@@ -217,18 +217,18 @@
   // or none, is evened out over its kind and corrected by how quickly that kind reads.
   void size_replicas() {
     std::map<std::uint32_t, Kind> kinds;
-    for (const Replica& r : replicas_) {
+    for (const ReplicaState& r : replicas_) {
       if (!r.ready()) continue;
-      past_.live_top[r.worker.kind] = std::max(past_.live_top[r.worker.kind], r.worker.size);
-      kinds[r.worker.kind].size += settings_.weights == WeightSource::silent ? 1.0 : r.worker.size;
-      kinds[r.worker.kind].count += 1.0;
+      past_.live_top[r.replica.kind] = std::max(past_.live_top[r.replica.kind], r.replica.size);
+      kinds[r.replica.kind].size += settings_.weights == WeightSource::silent ? 1.0 : r.replica.size;
+      kinds[r.replica.kind].count += 1.0;
     }
     if (by_kind()) compare_speeds(kinds);
     sized_ = now_;
     sizes_.resize(replicas_.size(), 1.0);
     largest_ = 0.0;
     for (std::size_t i = 0; i < replicas_.size(); ++i) {
-      const Worker& w = replicas_[i].worker;
+      const Replica& w = replicas_[i].replica;
       if (!replicas_[i].ready()) continue;
       const Kind& kind = kinds[w.kind];
       const double told = settings_.weights == WeightSource::live ? past_.live_top[w.kind] : w.size;
@@ -272,19 +272,19 @@
   // ---- how long attempts stay -----------------------------------------------------------------------------
   template <typename Change>
   void change_stays(int index, const Change& change) {
-    for (Stay* s : {&replicas_[index].stay, &past_.kinds[replicas_[index].worker.kind], &past_.stay}) {
+    for (Stay* s : {&replicas_[index].stay, &past_.kinds[replicas_[index].replica.kind], &past_.stay}) {
       s->step(now_, memory_);
       change(*s);
     }
   }
 
   // ---- what a replica may take ----------------------------------------------------------------------------
-  double warm(const Replica& r) const {
-    const double age = now_ - r.worker.born;
-    if (r.worker.born == 0.0 || age >= settings_.cold_s) return 1.0;
+  double warm(const ReplicaState& r) const {
+    const double age = now_ - r.replica.started_at;
+    if (r.replica.started_at == 0.0 || age >= settings_.cold_s) return 1.0;
     return settings_.cold_from + (1.0 - settings_.cold_from) * age / settings_.cold_s;
   }
-  double health(const Replica& r) const {
+  double health(const ReplicaState& r) const {
     return 1.0 - (1.0 - r.health) * std::exp((r.health_at - now_) / longest_);
   }
   // Means over the fleet, renewed a few times a second at most, so that a request does not cost a walk.
@@ -299,14 +299,14 @@
     double healths = 0.0, n = 0.0, own = 0.0, all = 0.0;
     fleet_size_ = 0.0;
     for (std::size_t i = 0; i < replicas_.size(); ++i) {
-      Replica& r = replicas_[i];
+      ReplicaState& r = replicas_[i];
       if (!r.ready()) continue;
       r.stay.step(now_, memory_);
       healths += health(r);
       n += 1.0;
       fleet_size_ += sizes_[i];
       all += sizes_[i] * warm(r);
-      if (static_cast<int>(r.worker.zone) == settings_.zone && !lost(r)) own += sizes_[i] * warm(r);
+      if (static_cast<int>(r.replica.zone) == settings_.zone && !lost(r)) own += sizes_[i] * warm(r);
     }
     // After a loss, or while a release has most replicas down, arrivals are those of the larger fleet; what
     // one replica carries must not be read off the few that are left.
@@ -326,40 +326,40 @@
     const double span = std::clamp(now_ - past_.started, 1.0, memory_);
     return past_.arrived.value(now_, memory_) / (memory_ * (1.0 - std::exp(-span / memory_)));
   }
-  bool lost(const Replica& r) const {
-    const auto it = past_.zones.find(r.worker.zone);
+  bool lost(const ReplicaState& r) const {
+    const auto it = past_.zones.find(r.replica.zone);
     return now_ < r.down_until || (it != past_.zones.end() && now_ < it->second.down_until);
   }
   double pass_over(int times) {  // jittered: routers that lost the same replica do not try it again in step
     return now_ + kDownFor * (1 << std::min(times - 1, kDownMost)) * (0.5 + unit(seed_ = mix(seed_, 23)));
   }
   void unreachable(int index) {
-    Replica& r = replicas_[index];
+    ReplicaState& r = replicas_[index];
     r.down_until = pass_over(++r.down);
-    Zone& z = past_.zones[r.worker.zone];
+    Zone& z = past_.zones[r.replica.zone];
     if (++z.down >= kZoneRow) z.down_until = pass_over(z.down);
     stale_ = true;
   }
-  void on_warning(double now, WorkerId id, double span) {
+  void on_health_warning(double now, ReplicaId id, double span) {
     const auto it = index_.find(id);
     if (it == index_.end()) return;
-    Replica& r = replicas_[it->second];
+    ReplicaState& r = replicas_[it->second];
     r.down_until = std::max(r.down_until, now + sane(span, 0.0, 10.0));
     stale_ = true;
   }
   void reached(int index) {
     replicas_[index].down_until = replicas_[index].down = 0;
-    past_.zones[replicas_[index].worker.zone] = {};
+    past_.zones[replicas_[index].replica.zone] = {};
   }
   // The share of its keys that a replica keeps: 1 on the ordinary path, less while it is cold or an outlier.
-  double share(const Replica& r) const {
+  double share(const ReplicaState& r) const {
     const double usual = past_.stay.mean(1.0, kStaysOfKind), own = r.stay.mean(usual, kStaysOfReplica);
     return warm(r) * std::min(1.0, health(r) / (kOutlier * mean_health_)) *
            std::min(1.0, kLongStay * usual / own);
   }
 
   std::size_t avoided(double now) const {
-    return std::count_if(replicas_.begin(), replicas_.end(), [=, this](const Replica& r) {
+    return std::count_if(replicas_.begin(), replicas_.end(), [=, this](const ReplicaState& r) {
       return r.ready() && (lost(r) || now < r.full_until || share(r) < 0.5 * warm(r));
     });
   }
@@ -367,17 +367,19 @@
   // The hard guard of cold starts. No router knows what the others send, so each keeps to its own part: what
   // a replica of this size gets of this router's work when warm, times how warm it is, times a part of the
   // multiple at which it falls.
-  double cold_due(const Replica& r, double size) const {  // in mean requests a second
+  double cold_due(const ReplicaState& r, double size) const {  // in mean requests a second
     return kColdPart * settings_.fall_multiple * warm(r) * part(rate() * size, past_.fleet_peak);
   }
-  bool few(const Replica& r) const { return cold_due(r, part(fleet_size_, ready_)) * settings_.fall_s < 1.0; }
+  bool few(const ReplicaState& r) const {
+    return cold_due(r, part(fleet_size_, ready_)) * settings_.fall_s < 1.0;
+  }
   bool cold_budget(const Request& q, int index, bool spend) {
-    Replica& r = replicas_[index];
+    ReplicaState& r = replicas_[index];
     if (warm(r) >= 1.0) return true;
     const double due = cold_due(r, sizes_[index]), work = q.work;
     // Where most replicas are cold or gone, those left draw more than their usual part of the requests.
     const double usual = kColdPart * settings_.fall_multiple * part(present_size_, past_.fleet_peak);
-    if (!spend && few(r) && unit(mix(q.query.id, r.worker.id ^ seed_)) > usual) return false;
+    if (!spend && few(r) && unit(mix(q.query.id, r.replica.id ^ seed_)) > usual) return false;
     const double most = std::max(1.0, due * settings_.fall_s * 0.5);
     r.cold_tokens = std::min(most, r.cold_tokens + due * (now_ - r.cold_at));
     r.cold_at = now_;
@@ -390,14 +392,16 @@
 
   // ---- the pick -------------------------------------------------------------------------------------------
   bool may_go_to(const Request& q, int index) const {
-    const Replica& r = replicas_[index];
+    const ReplicaState& r = replicas_[index];
     if (!r.ready()) return false;
     for (const Attempt& t : q.attempts) {
-      const Worker& before = replicas_[t.replica].worker;
+      const Replica& before = replicas_[t.replica].replica;
       if (t.replica == index) return false;  // skip replicas already tried
-      if (klass(q).semantics != Semantics::keyed || !(t.may_have_run || t.out)) continue;
-      if (klass(q).group == Group::zone && before.zone != r.worker.zone) return false;
-      if (klass(q).group == Group::cell && before.cell != r.worker.cell) return false;
+      if (request_class(q).semantics != Semantics::idempotency_key || !(t.may_have_run || t.out)) continue;
+      if (request_class(q).idempotency_scope == IdempotencyScope::zone && before.zone != r.replica.zone)
+        return false;
+      if (request_class(q).idempotency_scope == IdempotencyScope::cell && before.cell != r.replica.cell)
+        return false;
     }
     return true;
   }
@@ -417,7 +421,7 @@
       const int index = table.slots[slot];
       if (!table.standing[slot]) continue;
       if (std::find(own.begin(), own.begin() + found, index) != own.begin() + found) continue;
-      if (unit(mix(key ^ 0x517e, replicas_[index].worker.id)) > pulls_[index]) continue;
+      if (unit(mix(key ^ 0x517e, replicas_[index].replica.id)) > pulls_[index]) continue;
       own[found++] = index;
       if (found > q.spread && fits(q, index, strict)) return index;
     }
@@ -428,9 +432,9 @@
   }
   bool fits(const Request& q, int index, int strict) {
     if (!may_go_to(q, index)) return false;
-    const Replica& r = replicas_[index];
+    const ReplicaState& r = replicas_[index];
     if (strict > 0 && lost(r)) return false;
-    if (strict > 1 && (crowded(index) || unit(mix(q.key ^ 0xc01d, r.worker.id)) >= share(r))) return false;
+    if (strict > 1 && (crowded(index) || unit(mix(q.key ^ 0xc01d, r.replica.id)) >= share(r))) return false;
     return cold_budget(q, index, false);
   }
   bool crowded(int index) const {
@@ -456,14 +460,14 @@
 
   // ---- requests -------------------------------------------------------------------------------------------
   std::size_t class_index(const Request& q) const {
-    return std::min<std::size_t>(q.query.klass, settings_.classes.size() - 1);
+    return std::min<std::size_t>(q.query.request_class, settings_.classes.size() - 1);
   }
-  const ClassSettings& klass(const Request& q) const { return settings_.classes[class_index(q)]; }
+  const ClassSettings& request_class(const Request& q) const { return settings_.classes[class_index(q)]; }
   Wait& wait(const Request& q) {
-    return past_.waits[std::min<std::size_t>(q.query.klass, past_.waits.size() - 1)];
+    return past_.waits[std::min<std::size_t>(q.query.request_class, past_.waits.size() - 1)];
   }
 
-  void on_query(const Query& query) {
+  void on_request(const NewRequest& query) {
     auto [it, fresh] = requests_.try_emplace(query.id);
     if (!fresh) return;
     Request& q = it->second;
@@ -472,7 +476,8 @@
     q.query.deadline = sane(query.deadline, now_, now_ + 4000.0);
     q.query.prompt_tokens = sane(query.prompt_tokens, 0.0, 1e9);
     q.query.prefix_tokens = sane(query.prefix_tokens, 0.0, 1e9);
-    q.aim = klass(q).aim + klass(q).aim_per_1000 * q.query.prompt_tokens / 1000.0;
+    q.latency_objective = request_class(q).latency_objective +
+                          request_class(q).latency_objective_per_1000_tokens * q.query.prompt_tokens / 1000.0;
     measure(q);
     choose_key(q);
     sink_->set_timer(std::max(0.0, q.query.deadline - now_), query.id);
@@ -489,8 +494,8 @@
     follow(past_.prompt_mean, q.query.prompt_tokens, 0.02);
     q.work = std::clamp(raw / past_.raw_mean, 0.1, 10.0);
     if (!q.query.is_retry) past_.arrived.add(now_, memory_, q.work);
-    q.excess = q.query.budget == Budget::over;
-    if (q.query.tenant >= settings_.tenants.size() || q.query.budget != Budget::unknown) return;
+    q.excess = q.query.quota_status == QuotaStatus::over;
+    if (q.query.tenant >= settings_.tenants.size() || q.query.quota_status != QuotaStatus::unknown) return;
     const double quota = settings_.tenants[q.query.tenant].quota_per_s / settings_.balancers;
     if (!(quota > 0.0)) return;
     double &tokens = past_.quota_tokens[q.query.tenant], &at = past_.quota_at[q.query.tenant];
@@ -502,7 +507,7 @@
   }
 
   void choose_key(Request& q) {
-    const Query& query = q.query;
+    const NewRequest& query = q.query;
     const std::uint64_t session = query.key != 0 ? query.key : mix(seed_, query.id);
     if (query.prefix_id == 0 ||
         query.prefix_tokens < kPrefixPart * std::min(query.prompt_tokens, past_.prompt_mean)) {
@@ -542,7 +547,7 @@
   void advance(Request& q) {
     // Further attempts come out of a budget: in a storm of failures they would be the larger part of it.
     const bool spent = !q.attempts.empty() && past_.saved_retries < 1.0;
-    if (now_ >= q.query.deadline || !may_send(q, klass(q), settings_, now_) || spent)
+    if (now_ >= q.query.deadline || !may_send(q, request_class(q), settings_, now_) || spent)
       return any_out(q) ? void() : answer(q);
     const int index = pick(q);
     if (index >= 0) {
@@ -556,7 +561,7 @@
     // A client is never kept until near its deadline on the mere hope of a replica.
     const double until = std::min(useful_until(q), q.came + kHoldPart * (q.query.deadline - q.came));
     if (now_ >= until || tried_all(q)) return answer(q);
-    sink_->set_timer(std::max(0.005, std::min(q.aim / 10.0, until - now_)),
+    sink_->set_timer(std::max(0.005, std::min(q.latency_objective / 10.0, until - now_)),
                      q.query.id | kHoldAlarm << kCookieShift);
   }
   bool tried_all(const Request& q) const {
@@ -566,7 +571,8 @@
     return !q.attempts.empty();
   }
   double useful_until(const Request& q) const {
-    return klass(q).late_value > 0.0 ? q.query.deadline : std::min(q.query.deadline, q.came + q.aim);
+    return request_class(q).late_value > 0.0 ? q.query.deadline
+                                             : std::min(q.query.deadline, q.came + q.latency_objective);
   }
 
   void send(Request& q, int index) {
@@ -574,29 +580,30 @@
     change_stays(index, [](Stay& s) { s.sends += 1.0, s.out += 1.0; });
     q.attempts.push_back(Attempt{index, now_, q.work});
     const double left = q.query.deadline - now_;
-    const bool alone = !settings_.may_duplicate || klass(q).semantics == Semantics::unsafe;
+    const bool alone = !settings_.may_duplicate || request_class(q).semantics == Semantics::not_idempotent;
     double allow = 0.0;
     // Where no second copy may run beside the first, a silent replica is given up in time for another one.
-    if (alone && klass(q).semantics != Semantics::unsafe && may_retry_later(q) && calm()) {
+    if (alone && request_class(q).semantics != Semantics::not_idempotent && may_retry_later(q) && calm()) {
       allow = std::min(left, hedge_after(q));
     }
-    sink_->attempt(q.query.id, replicas_[index].worker.id, allow);
+    sink_->attempt(q.query.id, replicas_[index].replica.id, allow);
     if (!alone && may_retry_later(q)) {
       sink_->set_timer(std::min(left, hedge_after(q)), q.query.id | kHedgeAlarm << kCookieShift);
     }
   }
   bool calm() const { return admission_.in_time(now_) && past_.saved_hedges >= 1.0; }
   bool may_retry_later(const Request& q) const {
-    return static_cast<int>(q.attempts.size()) < settings_.most_tries;
+    return static_cast<int>(q.attempts.size()) < settings_.max_attempts;
   }
   double hedge_after(const Request& q) {
     const Wait& w = wait(q);
-    return q.aim * std::clamp(w.mean + 3.0 * w.spread, kHedgeFrom, kHedgeTo);
+    return q.latency_objective * std::clamp(w.mean + 3.0 * w.spread, kHedgeFrom, kHedgeTo);
   }
 
   void refuse(Request& q) {
-    const double wait = settings_.retry_after ? std::min(settings_.max_retry_after, q.aim) : 0.0;
-    may_reject(q, klass(q)) ? sink_->busy(q.query.id, wait) : sink_->fail(q.query.id);
+    const double wait =
+        settings_.retry_after ? std::min(settings_.max_retry_after, q.latency_objective) : 0.0;
+    may_reject(q, request_class(q)) ? sink_->reject(q.query.id, wait) : sink_->fail(q.query.id);
     finish(q);
   }
   void answer(Request& q) {
@@ -620,13 +627,13 @@
   }
   void note_late(const Request& q, bool late) {
     if (zone_first_ && !q.attempts.empty()) note_zone(q.attempts.back().replica, late, admission_.step(now_));
-    admission_.answered(now_, q, klass(q), late);
+    admission_.answered(now_, q, request_class(q), late);
   }
 
   // Late answers from the own zone let more of its keys cross, until a crossing costs as much as it saves,
   // and late ones from elsewhere fewer; no more cross than an even split would.
   void note_zone(int index, bool late, double step) {
-    const bool own = static_cast<int>(replicas_[index].worker.zone) == settings_.zone;
+    const bool own = static_cast<int>(replicas_[index].replica.zone) == settings_.zone;
     const double price = std::min(0.5, settings_.price_cross_zone);
     past_.keep += own ? (late ? -past_.keep * step : step * price / (1.0 - price)) : (late ? step : 0.0);
     past_.keep = std::clamp(past_.keep, 1.0 / settings_.zones, 1.0);
@@ -635,13 +642,13 @@
   // ---- outcomes -------------------------------------------------------------------------------------------
   // good: 1 = well within the aim, 0 = failed; weight: how much one such result says.
   void judge(int index, double good, double weight) {
-    Replica& r = replicas_[index];
+    ReplicaState& r = replicas_[index];
     r.health = health(r);
     r.health += weight * (good - r.health);
     r.health_at = now_;
   }
   void judge_wait(const Request& q, const Attempt& t) {
-    const double ratio = (now_ - t.sent) / q.aim;
+    const double ratio = (now_ - t.sent) / q.latency_objective;
     judge(t.replica, std::clamp((1.25 - ratio) / 0.75, 0.0, 1.0), 0.35);
   }
 
@@ -652,7 +659,7 @@
     return &q->attempts[attempt];
   }
 
-  void on_accepted(const Accepted& a) {
+  void on_first_event(const FirstEvent& a) {
     Request* q = nullptr;
     Attempt* t = find_attempt(a.id, a.attempt, q);
     if (t == nullptr || t->started) return;
@@ -660,12 +667,12 @@
     t->waited = now_ - t->sent;
     reached(t->replica);
     q->bound = true;
-    const double ratio = std::max(0.0, now_ - t->sent) / q->aim;
+    const double ratio = std::max(0.0, now_ - t->sent) / q->latency_objective;
     Wait& w = wait(*q);
     w.spread += 0.05 * (std::abs(ratio - w.mean) - w.spread);
     w.mean += 0.05 * (std::min(ratio, 2.0) - w.mean);
     judge_wait(*q, *t);
-    note_late(*q, now_ - q->came > q->aim);
+    note_late(*q, now_ - q->came > q->latency_objective);
     for (std::size_t i = 0; i < q->attempts.size(); ++i) {
       Attempt& other = q->attempts[i];
       if (!other.out || other.started) continue;
@@ -674,7 +681,7 @@
     }
   }
 
-  void on_response(const Response& r) {
+  void on_attempt_result(const AttemptResult& r) {
     Request* q = nullptr;
     Attempt* t = find_attempt(r.id, r.attempt, q);
     if (t == nullptr || !t->out) return;
@@ -692,8 +699,8 @@
         r.outcome == Outcome::error || r.outcome == Outcome::connect_failed || r.outcome == Outcome::reset;
     switch (r.outcome) {
       case Outcome::ok:
-        past_.read_costs[replicas_[t->replica].worker.kind].add(t->started ? t->waited : now_ - t->sent,
-                                                                q->query.prompt_tokens - r.note);
+        past_.read_costs[replicas_[t->replica].replica.kind].add(t->started ? t->waited : now_ - t->sent,
+                                                                 q->query.prompt_tokens - r.note);
         if (q->by_prefix) {
           const bool kept = r.note >= 0.5 * q->query.prefix_tokens;
           past_.widen =
@@ -702,7 +709,7 @@
         }
         if (!t->started) {
           judge_wait(*q, *t);
-          note_late(*q, now_ - q->came > q->aim);
+          note_late(*q, now_ - q->came > q->latency_objective);
         }
         break;
       case Outcome::error:
@@ -727,12 +734,12 @@
     if (!q->bound && !any_out(*q)) advance(*q);
   }
 
-  void on_gone(RequestId id) {
+  void on_client_disconnected(RequestId id) {
     const auto it = requests_.find(id);
     if (it != requests_.end() && !it->second.over) finish(it->second);
   }
 
-  void on_wake(std::uint64_t cookie) {
+  void on_timer(std::uint64_t cookie) {
     const std::uint64_t what = cookie >> kCookieShift;
     if (what == kListAlarm) {
       if (subscribed_) return;
@@ -768,8 +775,8 @@
   double now_ = 0.0;
   double longest_ = 0.0, memory_ = 1.0;
   ActionSink* sink_ = nullptr;
-  std::vector<Replica> replicas_;
-  std::map<WorkerId, int> index_;
+  std::vector<ReplicaState> replicas_;
+  std::map<ReplicaId, int> index_;
   std::vector<double> sizes_, pulls_;
   LearnedState past_;
   Admission admission_{settings_, past_};
@@ -788,17 +795,33 @@
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-void Balancer::on_list(double now, const ListChange& c, ActionSink& s) { impl_->begin(now, s).on_list(c); }
-void Balancer::on_query(double now, const Query& q, ActionSink& s) { impl_->begin(now, s).on_query(q); }
-void Balancer::on_accepted(double t, const Accepted& a, ActionSink& s) { impl_->begin(t, s).on_accepted(a); }
-void Balancer::on_response(double t, const Response& r, ActionSink& s) { impl_->begin(t, s).on_response(r); }
-void Balancer::on_gone(double now, RequestId id, ActionSink& s) { impl_->begin(now, s).on_gone(id); }
-void Balancer::on_wake(double t, std::uint64_t cookie, ActionSink& s) { impl_->begin(t, s).on_wake(cookie); }
-void Balancer::on_pong(double now, const Pong&, ActionSink& s) { impl_->begin(now, s); }
+void Balancer::on_endpoint_list(double now, const EndpointListChange& c, ActionSink& s) {
+  impl_->begin(now, s).on_endpoint_list(c);
+}
+void Balancer::on_request(double now, const NewRequest& q, ActionSink& s) {
+  impl_->begin(now, s).on_request(q);
+}
+void Balancer::on_first_event(double t, const FirstEvent& a, ActionSink& s) {
+  impl_->begin(t, s).on_first_event(a);
+}
+void Balancer::on_attempt_result(double t, const AttemptResult& r, ActionSink& s) {
+  impl_->begin(t, s).on_attempt_result(r);
+}
+void Balancer::on_client_disconnected(double now, RequestId id, ActionSink& s) {
+  impl_->begin(now, s).on_client_disconnected(id);
+}
+void Balancer::on_timer(double t, std::uint64_t cookie, ActionSink& s) {
+  impl_->begin(t, s).on_timer(cookie);
+}
+void Balancer::on_health_check_result(double now, const HealthCheckResult&, ActionSink& s) {
+  impl_->begin(now, s);
+}
 LearnedState Balancer::learned() const { return impl_->learned(); }
 void Balancer::adopt(double now, LearnedState l, ActionSink& s) { impl_->begin(now, s).adopt(std::move(l)); }
-void Balancer::on_warning(double t, WorkerId id, double span) { impl_->on_warning(t, id, span); }
+void Balancer::on_health_warning(double t, ReplicaId id, double span) {
+  impl_->on_health_warning(t, id, span);
+}
 std::size_t Balancer::avoided(double now) const { return impl_->avoided(now); }
-void Balancer::on_peer(double now, std::uint32_t, std::string_view, ActionSink& s) { impl_->begin(now, s); }
+void Balancer::on_gossip(double now, std::uint32_t, std::string_view, ActionSink& s) { impl_->begin(now, s); }
 
 }  // namespace flintglade::policy
--- a/src/policy/replica.h
+++ b/src/policy/replica_state.h
@@ -6,9 +6,9 @@
 
 namespace flintglade::policy {
 
-struct Replica : Known {
-  Worker worker;
-  bool ready() const { return worker.health == Health::ready; }
+struct ReplicaState : Known {
+  Replica replica;
+  bool ready() const { return replica.health == Health::ready; }
 };
 
 }  // namespace flintglade::policy
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -22,11 +22,11 @@
 };
 
 struct Request {
-  Query query;
+  NewRequest query;
   double came = 0.0;
-  double aim = 0.0;       // seconds for full worth
-  double work = 1.0;      // relative to the mean request
-  std::uint64_t key = 0;  // what is hashed
+  double latency_objective = 0.0;  // seconds for full worth
+  double work = 1.0;               // relative to the mean request
+  std::uint64_t key = 0;           // what is hashed
   bool by_prefix = false;
   int spread = 0;       // which of a hot prefix's replicas comes first
   bool over = false;    // answered or finished; kept while attempts are out
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -12,10 +12,10 @@
 
 void bound(ClassSettings& c) {
   c.hard_limit = sane(c.hard_limit, 0.01, kLongestAim);
-  c.aim = sane(c.aim, 0.001, c.hard_limit);
-  c.worth = sane(c.worth, 0.0, 1e9);
+  c.latency_objective = sane(c.latency_objective, 0.001, c.hard_limit);
+  c.priority_weight = sane(c.priority_weight, 0.0, 1e9);
   c.late_value = sane(c.late_value, 0.0, 1.0);
-  c.aim_per_1000 = sane(c.aim_per_1000, 0.0, kMostAimPer1000);
+  c.latency_objective_per_1000_tokens = sane(c.latency_objective_per_1000_tokens, 0.0, kMostAimPer1000);
 }
 
 }  // namespace
@@ -25,7 +25,7 @@
   for (ClassSettings& c : settings.classes) bound(c);
   settings.balancers = std::max(settings.balancers, 1);
   settings.zones = std::max(settings.zones, 1);
-  settings.most_tries = std::max(settings.most_tries, 1);
+  settings.max_attempts = std::max(settings.max_attempts, 1);
   settings.slots = std::clamp(settings.slots, 0, kMostSlots);
   settings.cold_from = sane(settings.cold_from, 0.01, 1.0);
   settings.cold_s = sane(settings.cold_s, 0.0, 3600.0);
--- a/src/policy/slot_table.cpp
+++ b/src/policy/slot_table.cpp
@@ -14,7 +14,7 @@
   return static_cast<std::int32_t>(b);
 }
 
-void SlotTable::update(const std::vector<Replica>& replicas, const std::vector<int>& ready_in_order,
+void SlotTable::update(const std::vector<ReplicaState>& replicas, const std::vector<int>& ready_in_order,
                        int fixed) {
   if (fixed > 0) return fill(replicas, ready_in_order, fixed);
   std::vector<bool> held(replicas.size(), false);
@@ -38,11 +38,11 @@
 // Where no start times are told: a fixed number of slots, each with the replica that scores highest there
 // (rendezvous hashing; Thaler and Ravishankar, 1998). That is made of the set alone, whatever a router saw
 // before, and one that joins or leaves moves only the slots that it gets or had.
-void SlotTable::fill(const std::vector<Replica>& replicas, const std::vector<int>& ready, int fixed) {
+void SlotTable::fill(const std::vector<ReplicaState>& replicas, const std::vector<int>& ready, int fixed) {
   std::vector<bool> before(replicas.size(), false);
   for (int r : members) before[r] = true;
   slots.resize(fixed, -1);
-  const auto score = [&](int r, int slot) { return mix(replicas[r].worker.id, slot + 1); };
+  const auto score = [&](int r, int slot) { return mix(replicas[r].replica.id, slot + 1); };
   const auto take = [&](int r, int slot) {
     if (slots[slot] < 0 || score(r, slot) > score(slots[slot], slot)) slots[slot] = r;
   };
--- a/src/policy/slot_table.h
+++ b/src/policy/slot_table.h
@@ -6,7 +6,7 @@
 
 #include <vector>
 
-#include "policy/replica.h"
+#include "policy/replica_state.h"
 
 namespace flintglade::policy {
 
@@ -16,10 +16,10 @@
 
   // The replicas have changed. ready_in_order: indices of the ready ones, by start time and id. fixed: so
   // many slots, filled by the set alone; 0: a slot for each replica.
-  void update(const std::vector<Replica>& replicas, const std::vector<int>& ready_in_order, int fixed);
+  void update(const std::vector<ReplicaState>& replicas, const std::vector<int>& ready_in_order, int fixed);
 
  private:
-  void fill(const std::vector<Replica>& replicas, const std::vector<int>& ready, int fixed);
+  void fill(const std::vector<ReplicaState>& replicas, const std::vector<int>& ready, int fixed);
 };
 
 }  // namespace flintglade::policy
--- a/src/simulator_adapter/boot_info.cpp
+++ b/src/simulator_adapter/boot_info.cpp
@@ -83,21 +83,23 @@
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const std::string at = "classes." + std::to_string(i) + ".";
     ClassSettings& c = s.classes[i];
-    in.number(at + "aim", c.aim);
+    in.number(at + "aim", c.latency_objective);
     in.number(at + "hard_limit", c.hard_limit);
-    in.number(at + "worth", c.worth);
+    in.number(at + "worth", c.priority_weight);
     in.number(at + "late_value", c.late_value);
     in.number(at + "key_ttl", c.key_ttl);
     in.flag(at + "streamed", c.streamed);
-    in.choice<Semantics>(
-        at + "semantics", c.semantics,
-        {{"safe", Semantics::safe}, {"keyed", Semantics::keyed}, {"unsafe", Semantics::unsafe}});
-    in.choice<Group>(at + "group", c.group,
-                     {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
+    in.choice<Semantics>(at + "semantics", c.semantics,
+                         {{"safe", Semantics::idempotent},
+                          {"keyed", Semantics::idempotency_key},
+                          {"unsafe", Semantics::not_idempotent}});
+    in.choice<IdempotencyScope>(
+        at + "group", c.idempotency_scope,
+        {{"all", IdempotencyScope::all}, {"zone", IdempotencyScope::zone}, {"cell", IdempotencyScope::cell}});
     double us = 0.0;
     if (i < per_k.size()) {
       if (!Lines::to_number(per_k[i], us)) in.fail("family_info.aim_us_per_1000_prompt_tokens", per_k[i]);
-      c.aim_per_1000 = us / 1e6;
+      c.latency_objective_per_1000_tokens = us / 1e6;
     }
   }
 }
@@ -134,8 +136,8 @@
   in.integer("az", s.zone);
   const auto zones = in.list("failure_domains");
   if (!zones.empty()) s.zones = static_cast<int>(zones.size());
-  in.number("over_share_worth", s.over_share_worth);
-  in.choice<bool>("worth_by", s.worth_by_work, {{"request", false}, {"work", true}});
+  in.number("over_share_worth", s.over_quota_weight);
+  in.choice<bool>("worth_by", s.priority_weight_by_work, {{"request", false}, {"work", true}});
   in.choice<bool>("registry_mode", s.list_on_request, {{"pushed", false}, {"on_request", true}});
   in.choice<bool>("registry_mode", s.list_pushed, {{"pushed", true}, {"on_request", false}});
   in.choice<WeightSource>("weight_source", s.weights,
@@ -150,7 +152,7 @@
   in.flag("permissions.probing", s.may_probe);
   in.flag("permissions.peers", s.may_peer);
   in.flag("permissions.retry_after", s.retry_after);
-  in.integer("permissions.most_tries", s.most_tries);
+  in.integer("permissions.most_tries", s.max_attempts);
   in.number("permissions.max_retry_after", s.max_retry_after);
   in.number("permissions.dial_timeout", s.dial_timeout);
   in.number("prices.cross_zone", s.price_cross_zone);
--- a/src/simulator_adapter/simhost.cpp
+++ b/src/simulator_adapter/simhost.cpp
@@ -56,29 +56,29 @@
     instances_.erase(index_);
     current_ = instances_.end();
   }
-  void handle(const ListChange& e) {
-    if (auto* b = balancer()) b->on_list(clock_, e, reply_);
+  void handle(const EndpointListChange& e) {
+    if (auto* b = balancer()) b->on_endpoint_list(clock_, e, reply_);
   }
-  void handle(const Query& e) {
-    if (auto* b = balancer()) b->on_query(clock_, e, reply_);
+  void handle(const NewRequest& e) {
+    if (auto* b = balancer()) b->on_request(clock_, e, reply_);
   }
-  void handle(const Accepted& e) {
-    if (auto* b = balancer()) b->on_accepted(clock_, e, reply_);
+  void handle(const FirstEvent& e) {
+    if (auto* b = balancer()) b->on_first_event(clock_, e, reply_);
   }
-  void handle(const Response& e) {
-    if (auto* b = balancer()) b->on_response(clock_, e, reply_);
+  void handle(const AttemptResult& e) {
+    if (auto* b = balancer()) b->on_attempt_result(clock_, e, reply_);
   }
   void handle(const wire::Gone& e) {
-    if (auto* b = balancer()) b->on_gone(clock_, e.id, reply_);
+    if (auto* b = balancer()) b->on_client_disconnected(clock_, e.id, reply_);
   }
   void handle(const wire::Wake& e) {
-    if (auto* b = balancer()) b->on_wake(clock_, e.cookie, reply_);
+    if (auto* b = balancer()) b->on_timer(clock_, e.cookie, reply_);
   }
-  void handle(const Pong& e) {
-    if (auto* b = balancer()) b->on_pong(clock_, e, reply_);
+  void handle(const HealthCheckResult& e) {
+    if (auto* b = balancer()) b->on_health_check_result(clock_, e, reply_);
   }
   void handle(const wire::Peer& e) {
-    if (auto* b = balancer()) b->on_peer(clock_, e.from, e.bytes, reply_);
+    if (auto* b = balancer()) b->on_gossip(clock_, e.from, e.bytes, reply_);
   }
 
   std::map<std::uint32_t, Balancer> instances_;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -20,9 +20,9 @@
     std::memcpy(&value, at_ - sizeof(T), sizeof(T));
     return value;
   }
-  WorkerId worker() {
+  ReplicaId replica() {
     const auto address = get<std::uint32_t>();
-    return (static_cast<WorkerId>(address) << 16) | get<std::uint16_t>();
+    return (static_cast<ReplicaId>(address) << 16) | get<std::uint16_t>();
   }
   std::string text(std::size_t length) {
     if (!take(length)) return {};
@@ -49,8 +49,8 @@
   bool ok_ = true;
 };
 
-ListChange read_list(Fields& f) {
-  ListChange list;
+EndpointListChange read_list(Fields& f) {
+  EndpointListChange list;
   const auto kind = f.get<std::uint8_t>();
   if (kind > 3) f.spoil();
   list.kind = static_cast<ListKind>(kind);
@@ -61,10 +61,10 @@
     f.spoil();
     return list;
   }
-  list.workers.reserve(n);
+  list.replicas.reserve(n);
   for (std::size_t i = 0; i < n; ++i) {
-    Worker w;
-    w.id = f.worker();
+    Replica w;
+    w.id = f.replica();
     w.zone = f.get<std::uint8_t>();
     w.kind = f.get<std::uint8_t>();
     w.cell = f.get<std::uint16_t>();
@@ -72,16 +72,16 @@
     if (health > 2) f.spoil();
     w.health = static_cast<Health>(health);
     w.size = f.get<float>();
-    w.born = f.get<double>();
-    list.workers.push_back(w);
+    w.started_at = f.get<double>();
+    list.replicas.push_back(w);
   }
   return list;
 }
 
-Query read_query(Fields& f) {
-  Query q;
+NewRequest read_query(Fields& f) {
+  NewRequest q;
   q.id = f.get<std::uint64_t>();
-  q.klass = f.get<std::uint16_t>();
+  q.request_class = f.get<std::uint16_t>();
   q.tenant = f.get<std::uint16_t>();
   q.key = f.get<std::uint64_t>();
   q.deadline = f.get<double>();
@@ -98,11 +98,11 @@
   return q;
 }
 
-Accepted read_accepted(Fields& f) {
-  Accepted a;
+FirstEvent read_accepted(Fields& f) {
+  FirstEvent a;
   a.id = f.get<std::uint64_t>();
   a.attempt = f.get<std::uint16_t>();
-  a.worker = f.worker();
+  a.replica = f.replica();
   a.latency = f.get<double>();
   return a;
 }
@@ -113,11 +113,11 @@
   return static_cast<Outcome>(value);
 }
 
-Response read_response(Fields& f) {
-  Response r;
+AttemptResult read_response(Fields& f) {
+  AttemptResult r;
   r.id = f.get<std::uint64_t>();
   r.attempt = f.get<std::uint16_t>();
-  r.worker = f.worker();
+  r.replica = f.replica();
   r.outcome = read_outcome(f);
   r.latency = f.get<double>();
   r.closed = f.get<std::uint8_t>() != 0;
@@ -126,10 +126,10 @@
   return r;
 }
 
-Pong read_pong(Fields& f) {
-  Pong p;
+HealthCheckResult read_pong(Fields& f) {
+  HealthCheckResult p;
   p.latency = f.get<double>();
-  p.worker = f.worker();
+  p.replica = f.replica();
   p.outcome = read_outcome(f);
   p.report = f.report();
   return p;
@@ -231,7 +231,7 @@
   std::memcpy(raw, &value, sizeof(T));
   out.append(raw, sizeof(T));
 }
-void put_worker(std::string& out, WorkerId id) {
+void put_worker(std::string& out, ReplicaId id) {
   put(out, static_cast<std::uint32_t>(id >> 16));
   put(out, static_cast<std::uint16_t>(id & 0xffff));
 }
@@ -250,14 +250,14 @@
   ++records_;
 }
 
-void ReplyWriter::attempt(RequestId id, WorkerId worker, double allow_for) {
+void ReplyWriter::attempt(RequestId id, ReplicaId replica, double allow_for) {
   begin(65, 22);
   put(bytes_, id);
-  put_worker(bytes_, worker);
+  put_worker(bytes_, replica);
   put(bytes_, allow_for);
 }
 
-void ReplyWriter::busy(RequestId id, double not_before_for) {
+void ReplyWriter::reject(RequestId id, double not_before_for) {
   begin(66, 16);
   put(bytes_, id);
   put(bytes_, not_before_for);
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -39,8 +39,8 @@
   std::uint32_t from = 0;
   std::string bytes;
 };
-using Event =
-    std::variant<Instance, Provision, Detach, ListChange, Query, Accepted, Response, Gone, Wake, Pong, Peer>;
+using Event = std::variant<Instance, Provision, Detach, EndpointListChange, NewRequest, FirstEvent,
+                           AttemptResult, Gone, Wake, HealthCheckResult, Peer>;
 
 // Reads the records of one batch. next() gives false at the end or at the first malformed record; error() is
 // then empty or says in one line what was wrong.
@@ -64,8 +64,8 @@
 class ReplyWriter : public ActionSink {
  public:
   void set_instance(std::uint32_t index) { instance_ = index; }
-  void attempt(RequestId id, WorkerId worker, double allow_for) override;
-  void busy(RequestId id, double not_before_for) override;
+  void attempt(RequestId id, ReplicaId replica, double allow_for) override;
+  void reject(RequestId id, double not_before_for) override;
   void fail(RequestId id) override;
   void stop_attempt(RequestId id, std::uint16_t attempt) override;
   void set_timer(double span, std::uint64_t cookie) override;
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -12,9 +12,9 @@
 namespace flintglade::policy::testing_support {
 
 struct Action {
-  enum Kind { attempt, busy, fail, stop, alarm, subscribe } kind;
+  enum Kind { attempt, reject, fail, stop, alarm, subscribe } kind;
   RequestId id = 0;
-  WorkerId worker = 0;
+  ReplicaId replica = 0;
   double span = 0.0;
   std::uint64_t number = 0;  // attempt index or cookie
 };
@@ -24,10 +24,10 @@
   explicit Script(Settings s, std::uint64_t seed = 1, double start = 100.0)
       : now(start), b(std::move(s), seed, start) {}
 
-  void attempt(RequestId id, WorkerId w, double allow) override {
+  void attempt(RequestId id, ReplicaId w, double allow) override {
     add({Action::attempt, id, w, allow, tries[id]++});
   }
-  void busy(RequestId id, double after) override { add({Action::busy, id, 0, after, 0}); }
+  void reject(RequestId id, double after) override { add({Action::reject, id, 0, after, 0}); }
   void fail(RequestId id) override { add({Action::fail, id, 0, 0, 0}); }
   void stop_attempt(RequestId id, std::uint16_t n) override { add({Action::stop, id, 0, 0, n}); }
   void set_timer(double span, std::uint64_t cookie) override {
@@ -36,27 +36,27 @@
   }
   void subscribe(bool) override { add({Action::subscribe, 0, 0, 0, 0}); }
 
-  void list(ListKind kind, std::vector<Worker> workers) {
-    b.on_list(now, {kind, 1, std::move(workers)}, *this);
+  void list(ListKind kind, std::vector<Replica> replicas) {
+    b.on_endpoint_list(now, {kind, 1, std::move(replicas)}, *this);
   }
-  void query(Query q) {
+  void query(NewRequest q) {
     if (q.deadline == 0.0) q.deadline = now + 5.0;
-    b.on_query(now, q, *this);
+    b.on_request(now, q, *this);
   }
   void respond(RequestId id, std::uint32_t n, Outcome o, bool closed, std::uint32_t kept = 0) {
-    Response r;
+    AttemptResult r;
     r.id = id;
     r.attempt = n;
     r.outcome = o;
     r.closed = closed;
     r.note = kept;
-    b.on_response(now, r, *this);
+    b.on_attempt_result(now, r, *this);
   }
   void accept(RequestId id, std::uint32_t n) {
-    Accepted a;
+    FirstEvent a;
     a.id = id;
     a.attempt = n;
-    b.on_accepted(now, a, *this);
+    b.on_first_event(now, a, *this);
   }
   // Moves the clock on, firing the alarms that fall due.
   void run_to(double t) {
@@ -64,7 +64,7 @@
       const auto [at, cookie] = *alarms.begin();
       alarms.erase(alarms.begin());
       now = std::max(now, at);
-      b.on_wake(now, cookie, *this);
+      b.on_timer(now, cookie, *this);
     }
     now = t;
   }
@@ -75,18 +75,20 @@
     }
     return found;
   }
-  std::size_t finals(RequestId id) const { return of(Action::busy, id).size() + of(Action::fail, id).size(); }
-  WorkerId placed(std::uint64_t session) {  // where a request of this session goes first
+  std::size_t finals(RequestId id) const {
+    return of(Action::reject, id).size() + of(Action::fail, id).size();
+  }
+  ReplicaId placed(std::uint64_t session) {  // where a request of this session goes first
     const RequestId id = next_id++;
-    Query q;
+    NewRequest q;
     q.id = id;
     q.key = session;
     query(q);
     const auto sent = of(Action::attempt, id);
     if (sent.empty()) return 0;
-    b.on_gone(now, id, *this);  // which says nothing of the replica
+    b.on_client_disconnected(now, id, *this);  // which says nothing of the replica
     respond(id, 0, Outcome::cancelled, true);
-    return sent[0].worker;
+    return sent[0].replica;
   }
 
   double now;
@@ -103,32 +105,32 @@
 inline Settings plain() {
   Settings s;
   ClassSettings c;
-  c.aim = 1.0;
+  c.latency_objective = 1.0;
   c.hard_limit = 5.0;
   c.streamed = true;
   s.classes = {c};
-  s.most_tries = 4;
+  s.max_attempts = 4;
   s.may_cancel = true;
   s.may_duplicate = true;
   s.cold_from = 0.2;
   s.cold_s = 20.0;
   return s;
 }
-inline Worker warm_worker(WorkerId id, double born = 0.0) {
-  Worker w;
+inline Replica warm_replica(ReplicaId id, double started_at = 0.0) {
+  Replica w;
   w.id = id;
   w.health = Health::ready;
-  w.born = born;
+  w.started_at = started_at;
   return w;
 }
-inline std::vector<Worker> fleet(int n) {
-  std::vector<Worker> all;
-  for (int i = 1; i <= n; ++i) all.push_back(warm_worker(static_cast<WorkerId>(i) * 7919));
+inline std::vector<Replica> fleet(int n) {
+  std::vector<Replica> all;
+  for (int i = 1; i <= n; ++i) all.push_back(warm_replica(static_cast<ReplicaId>(i) * 7919));
   return all;
 }
 inline std::uint64_t mixed(std::uint64_t x) { return (x + 1) * 0x9e3779b97f4a7c15ull; }
-inline Query ask(RequestId id, std::uint64_t session, double deadline = 0.0) {
-  Query q;
+inline NewRequest ask(RequestId id, std::uint64_t session, double deadline = 0.0) {
+  NewRequest q;
   q.id = id;
   q.key = session;
   q.deadline = deadline;
--- a/tests/core/broker_recording_test.cpp
+++ b/tests/core/broker_recording_test.cpp
@@ -260,15 +260,15 @@
   std::uint32_t draw_age() {
     return 1 + static_cast<std::uint32_t>(random_.below(std::min<std::size_t>(kOldestVersion, version_ - 1)));
   }
-  void change_one(policy::Worker& replica, std::uint64_t roll, double at) {
+  void change_one(policy::Replica& replica, std::uint64_t roll, double at) {
     const auto ready = std::count_if(endpoints_.begin(), endpoints_.end(), [](const Endpoint& endpoint) {
       return endpoint.replica.health == Health::ready;
     });
     if (replica.health != Health::ready) {
-      if (random_.one_in(2)) replica.born = at;
+      if (random_.one_in(2)) replica.started_at = at;
       replica.health = Health::ready;
     } else if (roll < 3) {
-      replica.born = at;
+      replica.started_at = at;
     } else if (static_cast<std::size_t>(ready) > kFewestReady) {
       replica.health = roll < 6 ? Health::draining : Health::gone;
     }
@@ -280,7 +280,7 @@
     endpoint.replica.zone = static_cast<std::uint32_t>(random_.below(2));
     endpoint.replica.cell = static_cast<std::uint32_t>(random_.below(4));
     endpoint.replica.health = Health::ready;
-    endpoint.replica.born = at;
+    endpoint.replica.started_at = at;
     endpoint.address = "10.0.0." + std::to_string(endpoint.replica.id) + ":8000";
     endpoints_.push_back(endpoint);
   }
@@ -393,7 +393,7 @@
 }
 
 void RecordedReplicaClient::update_endpoint(const Endpoint& endpoint, Micros no_new_after) {
-  const policy::Worker& replica = endpoint.replica;
+  const policy::Replica& replica = endpoint.replica;
   router_.log().note(TurnLog::kUpdate, replica.id,
                      {static_cast<std::uint64_t>(wire_), static_cast<std::uint64_t>(replica.health),
                       hash_of(endpoint.address), word(no_new_after)});
@@ -533,7 +533,7 @@
 std::shared_ptr<Request> SimulatedRouter::draw_request() {
   auto request = std::make_shared<Request>();
   request->wire = random_.one_in(3) ? Wire::kserve : Wire::http;
-  request->klass = static_cast<std::uint32_t>(random_.below(3));
+  request->request_class = static_cast<std::uint32_t>(random_.below(3));
   request->tenant = static_cast<std::uint32_t>(random_.below(3));
   request->session = random_.below(50);
   if (random_.one_in(2)) request->prefix = 1 + random_.below(6);
@@ -749,12 +749,12 @@
   policy::Settings s;
   s.classes.resize(2);
   for (policy::ClassSettings& c : s.classes) c.streamed = true;
-  s.classes[1].aim = 0.5;
-  s.classes[1].worth = 0.4;
+  s.classes[1].latency_objective = 0.5;
+  s.classes[1].priority_weight = 0.4;
   s.tenants.resize(2);
   s.tenants[0].quota_per_s = 20.0;
   s.may_cancel = s.may_duplicate = s.retry_after = true;
-  s.most_tries = 3;
+  s.max_attempts = 3;
   s.max_retry_after = 2.0;
   s.cold_from = 0.3;
   s.cold_s = 5.0;
@@ -763,8 +763,8 @@
 policy::Settings without_hedging() {
   policy::Settings s = with_hedging();
   s.may_cancel = s.may_duplicate = s.retry_after = false;
-  s.classes[1].semantics = policy::Semantics::keyed;
-  s.classes[1].group = policy::Group::zone;
+  s.classes[1].semantics = policy::Semantics::idempotency_key;
+  s.classes[1].idempotency_scope = policy::IdempotencyScope::zone;
   s.zones = 2;
   return s;
 }
--- a/tests/core_stand_ins.h
+++ b/tests/core_stand_ins.h
@@ -55,7 +55,7 @@
     s.classes.resize(1);
     s.classes[0].streamed = true;
     s.list_on_request = s.may_cancel = s.may_duplicate = s.retry_after = true;
-    s.most_tries = 3;
+    s.max_attempts = 3;
     s.max_retry_after = 2.0;
     limits.body_budget = body_budget;
     broker = std::make_unique<core::Broker>(limits, s, 7, ports, ports);
@@ -63,7 +63,7 @@
     list(policy::Health::ready, 1);
   }
   // One replica, as a whole list has it.
-  void list(policy::Health health, core::ReplicaId id, std::uint32_t version = 0, double born = 0.0) {
+  void list(policy::Health health, core::ReplicaId id, std::uint32_t version = 0, double started_at = 0.0) {
     core::EndpointListUpdate news;
     news.kind = policy::ListKind::full;
     news.version = version;
@@ -71,7 +71,7 @@
     news.entries[0].address = "127.0.0.1:1";
     news.entries[0].replica.id = id;
     news.entries[0].replica.health = health;
-    news.entries[0].replica.born = born;
+    news.entries[0].replica.started_at = started_at;
     broker->on_endpoint_list_update(std::move(news));
     broker->run_iteration();
   }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -113,13 +113,13 @@
   CHECK(!endless.next().has_value() && endless.wrong());
 }
 
-Micros born(discovery::BootClock& clock, Micros now, core::ReplicaId id, Micros unix_time) {
+Micros started_at(discovery::BootClock& clock, Micros now, core::ReplicaId id, Micros unix_time) {
   core::EndpointListUpdate news;
   news.entries.resize(1);
   news.entries[0].replica.id = id;
-  news.entries[0].replica.born = static_cast<double>(unix_time) / 1e6;
+  news.entries[0].replica.started_at = static_cast<double>(unix_time) / 1e6;
   clock.put_right(now, news);
-  return static_cast<Micros>(news.entries[0].replica.born * 1e6 + 0.5);
+  return static_cast<Micros>(news.entries[0].replica.started_at * 1e6 + 0.5);
 }
 
 // The wall clock may be stepped before the router's start: replicas that have just started are cold all the
@@ -129,16 +129,16 @@
   constexpr Micros kUnix = 1'700'000'000 * core::kSecond;  // Unix time when the monotonic clock began
   for (const Micros step : {Micros{0}, kHour, -kHour, 3 * core::kSecond, -3 * core::kSecond}) {
     discovery::BootClock clock(-kUnix - step);
-    const Micros first = born(clock, kNow, 1, kUnix + 50 * core::kSecond);
+    const Micros first = started_at(clock, kNow, 1, kUnix + 50 * core::kSecond);
     // It starts anew at 119 s, which is told at 120 s.
     clock.heard(118 * core::kSecond);
-    const Micros again = born(clock, 120 * core::kSecond, 1, kUnix + 119 * core::kSecond);
+    const Micros again = started_at(clock, 120 * core::kSecond, 1, kUnix + 119 * core::kSecond);
     const Micros off = again - 119 * core::kSecond;
     CHECK(again <= 120 * core::kSecond && std::abs(off) <= 3 * core::kSecond);
     // By now the offset is right to some seconds for those that no list named before.
-    const Micros other = born(clock, 121 * core::kSecond, 2, kUnix + 120 * core::kSecond);
+    const Micros other = started_at(clock, 121 * core::kSecond, 2, kUnix + 120 * core::kSecond);
     CHECK(other <= 121 * core::kSecond && other >= 116 * core::kSecond);
-    CHECK(born(clock, 130 * core::kSecond, 1, kUnix + 119 * core::kSecond) == again);
+    CHECK(started_at(clock, 130 * core::kSecond, 1, kUnix + 119 * core::kSecond) == again);
     CHECK(step != 0 || first == 50 * core::kSecond);
   }
 }
@@ -151,12 +151,12 @@
   core::EndpointListUpdate old;
   old.entries.resize(1);
   old.entries[0].replica.id = 1;
-  old.entries[0].replica.born = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
+  old.entries[0].replica.started_at = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
   clock.known(kNow, old);
-  CHECK(born(clock, kNow + core::kSecond, 1, kUnix + 50 * core::kSecond) == 50 * core::kSecond);
+  CHECK(started_at(clock, kNow + core::kSecond, 1, kUnix + 50 * core::kSecond) == 50 * core::kSecond);
   // Nor is a start that discovery tells late, as far as it may fall behind.
   clock.heard(kNow + 20 * core::kSecond);
-  CHECK(born(clock, kNow + 21 * core::kSecond, 1, kUnix + kNow) == kNow);
+  CHECK(started_at(clock, kNow + 21 * core::kSecond, 1, kUnix + kNow) == kNow);
 }
 
 // Lists on a watch, as discovery writes them: an indented one is a list, and a span that has been set anew in
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -41,8 +41,8 @@
     e.replica.size = some(4);
     // As the list gives it: whole milliseconds of Unix time on the writer's clock.
     const std::int64_t boot_ms = *rc::gen::inRange<std::int64_t>(1'789'999'000'000, 1'790'000'001'000);
-    e.replica.born = static_cast<double>(boot_ms * 1000 - kWriter.unix_less_monotonic) / 1e6;
-    if (*rc::gen::inRange(0, 3) == 0) e.replica.born = 0.0;
+    e.replica.started_at = static_cast<double>(boot_ms * 1000 - kWriter.unix_less_monotonic) / 1e6;
+    if (*rc::gen::inRange(0, 3) == 0) e.replica.started_at = 0.0;
     h.entries.push_back(e);
     if (e.replica.health != flintglade::policy::Health::ready)
       h.retired.push_back({e.replica.id, *rc::gen::inRange<core::Micros>(0, kNow), h.version});
@@ -92,16 +92,18 @@
     RC_ASSERT(read(bytes, after) == "");
     RC_ASSERT(after.version == before.version && after.entries.size() == before.entries.size());
     for (std::size_t i = 0; i < before.entries.size(); ++i) {
-      const flintglade::policy::Worker &a = before.entries[i].replica, &b = after.entries[i].replica;
+      const flintglade::policy::Replica &a = before.entries[i].replica, &b = after.entries[i].replica;
       RC_ASSERT(a.id == b.id && a.zone == b.zone && a.kind == b.kind && a.health == b.health &&
                 a.size == b.size);
       RC_ASSERT(before.entries[i].address == after.entries[i].address);
       // By the reader's clock, to the bit: else the list would seem to tell of a restart.
-      const double boot_us = std::round(a.born * 1e6) + static_cast<double>(kWriter.unix_less_monotonic);
-      RC_ASSERT(b.born == (a.born == 0.0 ? 0.0
-                                         : static_cast<double>(static_cast<std::int64_t>(boot_us) -
-                                                               kReader.unix_less_monotonic) /
-                                               1e6));
+      const double boot_us =
+          std::round(a.started_at * 1e6) + static_cast<double>(kWriter.unix_less_monotonic);
+      RC_ASSERT(b.started_at ==
+                (a.started_at == 0.0
+                     ? 0.0
+                     : static_cast<double>(static_cast<std::int64_t>(boot_us) - kReader.unix_less_monotonic) /
+                           1e6));
     }
     // All the rest by writing it again.
     Broker::ProcessSnapshot again = after;
--- a/tests/measure/daily.cpp
+++ b/tests/measure/daily.cpp
@@ -16,14 +16,14 @@
   core::Counters counters;
   counters.answers.resize(8);
   constexpr int kRequests = 50'000'000;
-  volatile std::uint32_t klass = 0;
+  volatile std::uint32_t request_class = 0;
   auto from = Clock::now();
   for (int i = 0; i < kRequests; ++i) {
     // As Broker does for each request: its coming, its attempt, its bytes written, its answer.
     ++counters.rpcs;
     ++counters.calls;
     ++counters.written;
-    ++counters.answers[std::min<std::size_t>(klass, counters.answers.size() - 1)].served;
+    ++counters.answers[std::min<std::size_t>(request_class, counters.answers.size() - 1)].served;
   }
   std::printf("counting a request: %.1f ns\n", since(from) / kRequests);
   std::vector<std::string> classes(8, "class");
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -24,11 +24,11 @@
 
 std::string address(int n) { return "10.0.0." + std::to_string(n) + ":8000"; }
 
-core::Endpoint entry(std::uint64_t uid, int at, Health health, double born = 0.0) {
+core::Endpoint entry(std::uint64_t uid, int at, Health health, double started_at = 0.0) {
   core::Endpoint e;
   e.replica.id = uid;
   e.replica.health = health;
-  e.replica.born = born;
+  e.replica.started_at = started_at;
   e.address = address(at);
   return e;
 }
@@ -87,7 +87,7 @@
   // One address under two ids: the ready one, else the younger, stands for it.
   w.m.list(w.now, list(ListKind::full, 1, {entry(1, 1, Health::draining), entry(2, 1, Health::ready, 50.0)}));
   CHECK(w.health(1) == Health::ready);
-  CHECK(w.m.verdicts().at(address(1)).endpoint.replica.born == 50.0);
+  CHECK(w.m.verdicts().at(address(1)).endpoint.replica.started_at == 50.0);
   // An id that moves: its old address is gone, its new one is a replica of its own.
   w.m.list(w.now, list(ListKind::delta, 2, {entry(2, 2, Health::ready, 50.0), entry(1, 1, Health::gone)}));
   CHECK(w.health(1) == Health::gone && w.clause(1) == Clause::gone && w.health(2) == Health::ready);
@@ -113,9 +113,9 @@
   w.pass(2 * kSecond);
   CHECK(w.clause(3) == Clause::named);
   // One that joins a known set has just started, as far as anybody can tell; the rest is long past.
-  CHECK(w.m.verdicts().at(address(1)).endpoint.replica.born == 0.0);
+  CHECK(w.m.verdicts().at(address(1)).endpoint.replica.started_at == 0.0);
   w.m.dns(w.now, "a", facts({1, 2, 3, 4, 6}));
-  CHECK(w.m.verdicts().at(address(6)).endpoint.replica.born > 0.0);
+  CHECK(w.m.verdicts().at(address(6)).endpoint.replica.started_at > 0.0);
 }
 
 void a_list_that_was_set_back_is_not_believed_at_once() {
@@ -151,7 +151,7 @@
   // They come back as they were: a zone that was empty says nothing of a restart.
   w.m.dns(w.now, "a", facts({1, 2, 3, 4}));
   w.pass(6 * kSecond);
-  CHECK(w.clause(1) == Clause::named && w.m.verdicts().at(address(1)).endpoint.replica.born == 0.0);
+  CHECK(w.clause(1) == Clause::named && w.m.verdicts().at(address(1)).endpoint.replica.started_at == 0.0);
   // By small steps: no more than the guard's part within its time.
   World s;
   s.m.dns(s.now, "a", facts({1, 2, 3, 4}));
@@ -412,9 +412,11 @@
 // ----------------------------------------------------------------------------
 
 struct Picks final : flintglade::policy::ActionSink {
-  std::uint64_t worker = 0;
-  void attempt(flintglade::policy::RequestId, flintglade::policy::WorkerId w, double) override { worker = w; }
-  void busy(flintglade::policy::RequestId, double) override {}
+  std::uint64_t replica = 0;
+  void attempt(flintglade::policy::RequestId, flintglade::policy::ReplicaId w, double) override {
+    replica = w;
+  }
+  void reject(flintglade::policy::RequestId, double) override {}
   void fail(flintglade::policy::RequestId) override {}
   void stop_attempt(flintglade::policy::RequestId, std::uint16_t) override {}
   void set_timer(double, std::uint64_t) override {}
@@ -431,33 +433,33 @@
     return s;
   }
   void set(std::uint64_t members, double at) {
-    flintglade::policy::ListChange change;
+    flintglade::policy::EndpointListChange change;
     change.kind = ListKind::full;
     for (int n = 0; n < 12; ++n) {
       if ((members >> n & 1) == 0) continue;
-      flintglade::policy::Worker w;
+      flintglade::policy::Replica w;
       w.id = replica_id(address(n));
       w.health = Health::ready;
-      w.born = joined.try_emplace(n, at).first->second;  // as it learnt of them: no two routers alike
-      change.workers.push_back(w);
+      w.started_at = joined.try_emplace(n, at).first->second;  // as it learnt of them: no two routers alike
+      change.replicas.push_back(w);
     }
-    module.on_list(at, change, picks);
+    module.on_endpoint_list(at, change, picks);
   }
   std::uint64_t pick(std::uint64_t key, double at) {
-    flintglade::policy::Query q;
+    flintglade::policy::NewRequest q;
     q.id = ++last;
     q.key = key;
     q.deadline = at + 5.0;
-    picks.worker = 0;
-    module.on_query(at, q, picks);
-    const std::uint64_t out = picks.worker;
-    flintglade::policy::Response r;
+    picks.replica = 0;
+    module.on_request(at, q, picks);
+    const std::uint64_t out = picks.replica;
+    flintglade::policy::AttemptResult r;
     r.id = q.id;
-    r.worker = out;
+    r.replica = out;
     r.outcome = flintglade::policy::Outcome::ok;
     r.closed = true;
-    module.on_accepted(at, {q.id, 0, out, 0.01}, picks);
-    module.on_response(at, r, picks);
+    module.on_first_event(at, {q.id, 0, out, 0.01}, picks);
+    module.on_attempt_result(at, r, picks);
     return out;
   }
   Picks picks;
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -104,14 +104,14 @@
 };
 
 struct AttemptInHand {
-  WorkerId replica = 0;
+  ReplicaId replica = 0;
   double sent = 0.0;
   bool out = true;
 };
 
 struct RequestInHand {
   std::size_t router = 0;
-  std::uint32_t klass = 0;
+  std::uint32_t request_class = 0;
   double prefix_tokens = 0.0;
   bool over = false;
   int bound = -1;  // the attempt whose stream the client reads
@@ -204,40 +204,40 @@
   void change(double now) {
     const std::uint64_t roll = random_.below(10);
     if (roll < 4 && replicas_.size() < kMostReplicas) return join(now - random_.between(0.0, 3.0));
-    Worker& replica = replicas_[random_.below(replicas_.size())];
+    Replica& replica = replicas_[random_.below(replicas_.size())];
     if (roll < 7 && replica.health == Health::ready) {
       if (ready() <= kFewestReady) return;
       replica.health = roll == 4 ? Health::gone : Health::draining;
     } else {
       if (replica.health != Health::draining || roll < 8)
-        replica.born = start(now - random_.between(-0.5, 2.0));
+        replica.started_at = start(now - random_.between(-0.5, 2.0));
       replica.health = Health::ready;
     }
     changed_.push_back(replica.id);
   }
-  ListChange tell(ListKind kind) {
-    ListChange change;
+  EndpointListChange tell(ListKind kind) {
+    EndpointListChange change;
     change.kind = kind;
     change.version = ++version_;
     if (kind == ListKind::failed) return change;
-    for (const Worker& replica : replicas_) {
+    for (const Replica& replica : replicas_) {
       const bool changed = std::find(changed_.begin(), changed_.end(), replica.id) != changed_.end();
       if (kind == ListKind::delta ? changed : tells_whole(kind, replica))
-        change.workers.push_back(told(replica));
+        change.replicas.push_back(told(replica));
     }
     changed_.clear();
-    std::erase_if(replicas_, [](const Worker& replica) { return replica.health == Health::gone; });
+    std::erase_if(replicas_, [](const Replica& replica) { return replica.health == Health::gone; });
     return change;
   }
-  WorkerId any() { return replicas_[random_.below(replicas_.size())].id; }
-  const Worker* find(WorkerId id) const {
+  ReplicaId any() { return replicas_[random_.below(replicas_.size())].id; }
+  const Replica* find(ReplicaId id) const {
     const auto it = std::find_if(replicas_.begin(), replicas_.end(),
-                                 [id](const Worker& replica) { return replica.id == id; });
+                                 [id](const Replica& replica) { return replica.id == id; });
     return it == replicas_.end() ? nullptr : &*it;
   }
 
  private:
-  bool tells_whole(ListKind kind, const Worker& replica) {
+  bool tells_whole(ListKind kind, const Replica& replica) {
     if (replica.health == Health::gone) return random_.one_in(2);
     // A cached list may be behind, but some replicas are always left.
     return kind == ListKind::full || ready() <= 2 * kFewestReady || !random_.one_in(8);
@@ -245,23 +245,23 @@
   std::size_t ready() const {
     return static_cast<std::size_t>(
         std::count_if(replicas_.begin(), replicas_.end(),
-                      [](const Worker& replica) { return replica.health == Health::ready; }));
+                      [](const Replica& replica) { return replica.health == Health::ready; }));
   }
   double start(double at) const { return traffic_.tells_starts ? at : 0.0; }
   void join(double at) {
-    Worker replica;
+    Replica replica;
     replica.id = random_.bits();
     replica.zone = static_cast<std::uint32_t>(random_.below(static_cast<std::uint64_t>(settings_.zones)));
     replica.kind = static_cast<std::uint32_t>(random_.below(kKindsOfMachine));
     replica.cell = replica.zone * kCellsOfZone + static_cast<std::uint32_t>(random_.below(kCellsOfZone));
     replica.health = Health::ready;
     replica.size = 1.0 + replica.kind;
-    replica.born = start(at);
+    replica.started_at = start(at);
     changed_.push_back(replica.id);
     replicas_.push_back(replica);
   }
-  Worker told(const Worker& replica) {
-    Worker entry = replica;
+  Replica told(const Replica& replica) {
+    Replica entry = replica;
     if (settings_.weights == WeightSource::live) entry.size *= random_.between(0.3, 1.0);
     if (settings_.weights == WeightSource::rough) entry.size *= random_.between(0.8, 1.2);
     if (traffic_.odd_figures && random_.one_in(6)) {
@@ -273,8 +273,8 @@
   const Settings& settings_;
   const Traffic& traffic_;
   SeededRandom& random_;
-  std::vector<Worker> replicas_;
-  std::vector<WorkerId> changed_;  // since the last list
+  std::vector<Replica> replicas_;
+  std::vector<ReplicaId> changed_;  // since the last list
   std::uint32_t version_ = 0;
 };
 
@@ -308,14 +308,14 @@
   enum Tag : std::uint64_t { kAttempt = 1, kBusy, kFail, kStopAttempt, kSetAlarm, kObserve, kTakeover };
 
   // ---- the module's actions ----
-  void attempt(RequestId id, WorkerId replica, double allow_for) override {
+  void attempt(RequestId id, ReplicaId replica, double allow_for) override {
     record(kAttempt, id, replica);
     hash_.add_seconds(allow_for);
     RequestInHand& request = requests_[id - 1];
     request.attempts.push_back({replica, now_, true});
     plan_attempt(id, static_cast<std::uint32_t>(request.attempts.size() - 1), allow_for);
   }
-  void busy(RequestId id, double not_before_for) override {
+  void reject(RequestId id, double not_before_for) override {
     record(kBusy, id, 0);
     hash_.add_seconds(not_before_for);
     requests_[id - 1].over = true;
@@ -383,7 +383,7 @@
       case Happening::on_client_disconnected:
         return take_client_gone(next);
       case Happening::alarm:
-        return router(next.router).on_wake(told_time(), next.cookie, *this);
+        return router(next.router).on_timer(told_time(), next.cookie, *this);
       case Happening::list:
         return take_list_change();
       case Happening::list_answer:
@@ -428,23 +428,23 @@
   void take_request() {
     requests_.emplace_back();
     const RequestId id = requests_.size();
-    const Query query = draw_query(id);
+    const NewRequest query = draw_query(id);
     requests_.back().router = routers_.size() - 1;
-    requests_.back().klass = std::min<std::uint32_t>(query.klass, last_class());
+    requests_.back().request_class = std::min<std::uint32_t>(query.request_class, last_class());
     requests_.back().prefix_tokens = query.prefix_tokens;
-    router(routers_.size() - 1).on_query(told_time(), query, *this);
-    if (random_.one_in(50)) router(routers_.size() - 1).on_query(now_, query, *this);  // the same id again
+    router(routers_.size() - 1).on_request(told_time(), query, *this);
+    if (random_.one_in(50)) router(routers_.size() - 1).on_request(now_, query, *this);  // the same id again
     if (random_.one_in(25)) schedule(random_.between(0.0, 2.0), Happening::on_client_disconnected, id);
     schedule(random_.between(0.0, 2.0 / (traffic_.requests_a_second * phase().load)), Happening::request);
   }
   std::uint32_t last_class() const {
     return static_cast<std::uint32_t>(std::max<std::size_t>(settings_.classes.size(), 1) - 1);
   }
-  Query draw_query(RequestId id) {
-    Query query;
+  NewRequest draw_query(RequestId id) {
+    NewRequest query;
     query.id = id;
-    query.klass = static_cast<std::uint32_t>(random_.below(last_class() + 1));
-    if (random_.one_in(200)) query.klass += 100;  // no such class
+    query.request_class = static_cast<std::uint32_t>(random_.below(last_class() + 1));
+    if (random_.one_in(200)) query.request_class += 100;  // no such class
     query.tenant = static_cast<std::uint32_t>(random_.below(settings_.tenants.size() + 1));
     if (random_.percent(70)) query.key = 1 + random_.below(400);
     query.deadline = now_ + random_.between(0.3, 5.0);
@@ -454,12 +454,12 @@
     query.is_retry = random_.one_in(12);
     query.is_write = random_.one_in(5);
     query.resumed = random_.one_in(30);
-    if (random_.one_in(6)) query.budget = static_cast<Budget>(random_.below(3));
+    if (random_.one_in(6)) query.quota_status = static_cast<QuotaStatus>(random_.below(3));
     if (random_.percent(traffic_.prefix_percent)) draw_prefix(query);
     if (traffic_.odd_figures && random_.one_in(10)) make_odd(query);
     return query;
   }
-  void draw_prefix(Query& query) {
+  void draw_prefix(NewRequest& query) {
     if (random_.percent(traffic_.rare_prefix_percent)) {
       query.prefix_id = 1'000'000 + random_.below(1'000'000'000);
     } else if (random_.percent(60)) {
@@ -469,7 +469,7 @@
     }
     query.prefix_tokens = query.prompt_tokens * random_.between(0.2, 1.0);
   }
-  void make_odd(Query& query) {
+  void make_odd(NewRequest& query) {
     const double odd[] = {std::numeric_limits<double>::infinity(), std::numeric_limits<double>::quiet_NaN(),
                           -1.0, 0.0, 1e300};
     double* const figures[] = {&query.deadline, &query.hint, &query.prompt_tokens, &query.prefix_tokens};
@@ -478,7 +478,7 @@
   }
   void take_client_gone(const Scheduled& next) {
     RequestInHand& request = requests_[next.request - 1];
-    router(request.router).on_gone(told_time(), next.request, *this);
+    router(request.router).on_client_disconnected(told_time(), next.request, *this);
     if (request.over) return;
     request.over = true;
     for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
@@ -488,13 +488,14 @@
 
   // ---- replicas ----
   void plan_attempt(RequestId id, std::uint32_t attempt, double allow_for) {
-    const WorkerId replica = requests_[id - 1].attempts[attempt].replica;
+    const ReplicaId replica = requests_[id - 1].attempts[attempt].replica;
     const double wait = draw_wait(replica);
     if (const Outcome outcome = draw_outcome(replica); outcome != Outcome::ok) {
       return plan_fault(id, attempt, outcome, wait, allow_for);
     }
     if (allow_for > 0.0 && wait > allow_for) return schedule_end(allow_for, id, attempt, Outcome::timeout);
-    const bool streamed = !settings_.classes.empty() && settings_.classes[requests_[id - 1].klass].streamed;
+    const bool streamed =
+        !settings_.classes.empty() && settings_.classes[requests_[id - 1].request_class].streamed;
     if (streamed) schedule(wait, Happening::accepted, id, attempt);
     const double rest = streamed ? random_.between(0.0, 6.0 * traffic_.wait) * slowness(replica) : 0.0;
     schedule_end(wait + rest, id, attempt, random_.one_in(40) ? Outcome::reset : Outcome::ok);
@@ -506,17 +507,17 @@
                                                                                : random_.between(0.002, 0.1);
     schedule_end(in, id, attempt, outcome);
   }
-  double draw_wait(WorkerId replica) {
+  double draw_wait(ReplicaId replica) {
     const double rare = random_.one_in(20) ? 4.0 : 1.0;
     return traffic_.wait * phase().wait * slowness(replica) * rare * random_.between(0.1, 1.0);
   }
-  double slowness(WorkerId replica) const {
-    const Worker* known = fleet_.find(replica);
+  double slowness(ReplicaId replica) const {
+    const Replica* known = fleet_.find(replica);
     const double of_kind = known == nullptr ? 1.0 : std::pow(traffic_.slower_by_kind, known->kind);
     return of_kind * (replica % 7 == 0 ? 5.0 : 1.0 + 0.5 * static_cast<double>(replica % 3));
   }
-  Outcome draw_outcome(WorkerId replica) {
-    const Worker* known = fleet_.find(replica);
+  Outcome draw_outcome(ReplicaId replica) {
+    const Replica* known = fleet_.find(replica);
     const bool lost_zone =
         phase().zone_unreachable && known != nullptr &&
         known->zone == static_cast<std::uint32_t>((settings_.zone + 1) % std::max(settings_.zones, 1));
@@ -536,12 +537,12 @@
     if (!attempt.out) return;
     if (request.over || request.bound >= 0) return end_attempt(next, Outcome::cancelled);
     request.bound = static_cast<int>(next.attempt);
-    Accepted accepted;
+    FirstEvent accepted;
     accepted.id = next.request;
     accepted.attempt = next.attempt;
-    accepted.worker = attempt.replica;
+    accepted.replica = attempt.replica;
     accepted.latency = now_ - attempt.sent;
-    router(request.router).on_accepted(told_time(), accepted, *this);
+    router(request.router).on_first_event(told_time(), accepted, *this);
   }
   void take_response(const Scheduled& next) {
     const RequestInHand& request = requests_[next.request - 1];
@@ -556,17 +557,17 @@
     AttemptInHand& attempt = request.attempts[next.attempt];
     attempt.out = false;
     if (outcome == Outcome::ok || request.bound == static_cast<int>(next.attempt)) request.over = true;
-    Response response;
+    AttemptResult response;
     response.id = next.request;
     response.attempt = next.attempt;
-    response.worker = attempt.replica;
+    response.replica = attempt.replica;
     response.outcome = outcome;
     response.latency = now_ - attempt.sent;
     response.closed = request.over;
     if (outcome == Outcome::ok && random_.percent(traffic_.kept_percent)) {
       response.note = static_cast<std::uint32_t>(sane(request.prefix_tokens, 0.0, 1e6));
     }
-    router(request.router).on_response(told_time(), response, *this);
+    router(request.router).on_attempt_result(told_time(), response, *this);
   }
 
   // ---- lists, and what others say ----
@@ -579,32 +580,33 @@
     schedule(random_.between(0.0, 2.0 * kMeanSecondsBetweenLists), Happening::list);
   }
   void tell_list(ListKind kind) {
-    const ListChange change = fleet_.tell(kind);
-    for (std::size_t i = 0; i < routers_.size(); ++i) router(i).on_list(now_, change, *this);
+    const EndpointListChange change = fleet_.tell(kind);
+    for (std::size_t i = 0; i < routers_.size(); ++i) router(i).on_endpoint_list(now_, change, *this);
   }
   void take_warning() {
     const std::size_t newest = routers_.size() - 1;
-    routers_[newest]->on_warning(now_, random_.one_in(10) ? 1 : fleet_.any(), random_.between(-1.0, 14.0));
-    Pong pong;
-    pong.worker = fleet_.any();
+    routers_[newest]->on_health_warning(now_, random_.one_in(10) ? 1 : fleet_.any(),
+                                        random_.between(-1.0, 14.0));
+    HealthCheckResult pong;
+    pong.replica = fleet_.any();
     pong.outcome = static_cast<Outcome>(random_.below(8));
-    router(newest).on_pong(now_, pong, *this);
-    router(newest).on_peer(now_, 1, "said by a peer", *this);
+    router(newest).on_health_check_result(now_, pong, *this);
+    router(newest).on_gossip(now_, 1, "said by a peer", *this);
     tell_of_unknown(newest);
     schedule(random_.between(0.0, 2.0 * kMeanSecondsBetweenWarnings), Happening::warning);
   }
   // Ids that were never given out, or are over: to be passed over.
   void tell_of_unknown(std::size_t newest) {
-    Accepted accepted;
+    FirstEvent accepted;
     accepted.id = random_.one_in(2) ? requests_.size() + 1'000'000 : 1;
     accepted.attempt = 40;
-    router(newest).on_accepted(now_, accepted, *this);
-    Response response;
+    router(newest).on_first_event(now_, accepted, *this);
+    AttemptResult response;
     response.id = accepted.id;
     response.attempt = 40;
-    router(newest).on_response(now_, response, *this);
-    router(newest).on_gone(now_, accepted.id, *this);
-    router(newest).on_wake(now_, requests_.size() + 1'000'000, *this);
+    router(newest).on_attempt_result(now_, response, *this);
+    router(newest).on_client_disconnected(now_, accepted.id, *this);
+    router(newest).on_timer(now_, requests_.size() + 1'000'000, *this);
   }
 
   const Settings settings_;
@@ -622,19 +624,20 @@
 
 // ---- settings ---------------------------------------------------------------------------------------------
 
-ClassSettings a_class(Semantics semantics, Group group = Group::all, double aim = 1.0) {
+ClassSettings a_class(Semantics semantics, IdempotencyScope idempotency_scope = IdempotencyScope::all,
+                      double latency_objective = 1.0) {
   ClassSettings c;
-  c.aim = aim;
+  c.latency_objective = latency_objective;
   c.semantics = semantics;
-  c.group = group;
+  c.idempotency_scope = idempotency_scope;
   c.streamed = true;
   return c;
 }
 
 Settings safe_with_hedging() {
   Settings s;
-  s.classes = {a_class(Semantics::safe)};
-  s.most_tries = 4;
+  s.classes = {a_class(Semantics::idempotent)};
+  s.max_attempts = 4;
   s.may_cancel = s.may_duplicate = true;
   s.cold_from = 0.2;
   s.cold_s = 15.0;
@@ -644,15 +647,16 @@
 Settings safe_without_hedging() {
   Settings s = safe_with_hedging();
   s.may_cancel = s.may_duplicate = false;
-  s.classes.push_back(a_class(Semantics::safe, Group::all, 0.5));
+  s.classes.push_back(a_class(Semantics::idempotent, IdempotencyScope::all, 0.5));
   s.classes[1].streamed = false;
   s.classes[1].late_value = 0.3;
   return s;
 }
 Settings keyed_groups() {
   Settings s = safe_with_hedging();
-  s.classes = {a_class(Semantics::keyed), a_class(Semantics::keyed, Group::zone),
-               a_class(Semantics::keyed, Group::cell)};
+  s.classes = {a_class(Semantics::idempotency_key),
+               a_class(Semantics::idempotency_key, IdempotencyScope::zone),
+               a_class(Semantics::idempotency_key, IdempotencyScope::cell)};
   for (ClassSettings& c : s.classes) c.key_ttl = 1.2;
   s.zones = 2;
   s.dial_timeout = 0.2;
@@ -660,8 +664,8 @@
 }
 Settings unsafe_and_safe() {
   Settings s = safe_with_hedging();
-  s.classes = {a_class(Semantics::unsafe), a_class(Semantics::safe, Group::all, 0.6),
-               a_class(Semantics::keyed, Group::zone)};
+  s.classes = {a_class(Semantics::not_idempotent), a_class(Semantics::idempotent, IdempotencyScope::all, 0.6),
+               a_class(Semantics::idempotency_key, IdempotencyScope::zone)};
   s.may_cancel = false;
   s.dial_timeout = 0.1;
   s.weights = WeightSource::nominal;
@@ -695,7 +699,7 @@
 Settings live_weights() {
   Settings s = safe_with_hedging();
   s.weights = WeightSource::live;
-  s.classes[0].aim_per_1000 = 0.2;
+  s.classes[0].latency_objective_per_1000_tokens = 0.2;
   s.cold_from = 0.05;
   s.cold_s = 30.0;
   s.fall_multiple = 1.5;
@@ -711,16 +715,16 @@
 Settings tenants_with_quotas() {
   Settings s = safe_with_hedging();
   s.tenants = {{30.0, 0.2}, {60.0, 0.3}, {0.0, 0.5}};
-  s.classes.push_back(a_class(Semantics::safe, Group::all, 2.0));
-  s.classes[1].worth = 5.0;
+  s.classes.push_back(a_class(Semantics::idempotent, IdempotencyScope::all, 2.0));
+  s.classes[1].priority_weight = 5.0;
   s.classes[1].late_value = 0.5;
-  s.worth_by_work = true;
+  s.priority_weight_by_work = true;
   return s;
 }
 Settings overload_with_retry_after() {
   Settings s = safe_with_hedging();
-  s.classes.push_back(a_class(Semantics::keyed, Group::cell, 0.4));
-  s.classes[1].worth = 0.3;
+  s.classes.push_back(a_class(Semantics::idempotency_key, IdempotencyScope::cell, 0.4));
+  s.classes[1].priority_weight = 0.3;
   s.retry_after = true;
   s.max_retry_after = 2.0;
   return s;
@@ -734,18 +738,18 @@
 Settings told_the_list() {
   Settings s = asks_for_the_list();
   s.list_pushed = true;
-  s.most_tries = 2;
+  s.max_attempts = 2;
   s.must_ask_in = 0.0;
   return s;
 }
 Settings out_of_bounds() {
   Settings s = safe_with_hedging();
-  s.classes[0].aim = std::numeric_limits<double>::quiet_NaN();
-  s.classes.push_back(a_class(Semantics::safe, Group::all, 1e9));
-  s.classes[1].aim_per_1000 = 1e6;
-  s.classes.push_back(a_class(Semantics::safe));
+  s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN();
+  s.classes.push_back(a_class(Semantics::idempotent, IdempotencyScope::all, 1e9));
+  s.classes[1].latency_objective_per_1000_tokens = 1e6;
+  s.classes.push_back(a_class(Semantics::idempotent));
   s.classes[2].hard_limit = 1e9;
-  s.classes[1].worth = -1.0;
+  s.classes[1].priority_weight = -1.0;
   s.balancers = 0;
   s.cold_from = -3.0;
   s.fall_multiple = 1e9;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -79,24 +79,25 @@
 
 // ---- the slot table ---------------------------------------------------------------------------------------
 
-std::vector<WorkerId> placements(Script& s, int sessions = 200) {
-  std::vector<WorkerId> at;
+std::vector<ReplicaId> placements(Script& s, int sessions = 200) {
+  std::vector<ReplicaId> at;
   for (int k = 1; k <= sessions; ++k) at.push_back(s.placed(static_cast<std::uint64_t>(k) * 1000003));
   return at;
 }
-int differing(const std::vector<WorkerId>& a, const std::vector<WorkerId>& b) {
+int differing(const std::vector<ReplicaId>& a, const std::vector<ReplicaId>& b) {
   int n = 0;
   for (std::size_t i = 0; i < a.size(); ++i) n += a[i] != b[i];
   return n;
 }
 
 TEST(Slots, TheSameListInAnyOrderGivesTheSameTable) {
-  auto workers = fleet(9);
-  for (std::size_t i = 0; i < workers.size(); ++i) workers[i].born = 10.0 + static_cast<double>((i * 5) % 9);
+  auto replicas = fleet(9);
+  for (std::size_t i = 0; i < replicas.size(); ++i)
+    replicas[i].started_at = 10.0 + static_cast<double>((i * 5) % 9);
   Script a(plain()), b(plain(), 77);
-  a.list(ListKind::cached, workers);
-  std::reverse(workers.begin(), workers.end());
-  b.list(ListKind::cached, workers);
+  a.list(ListKind::cached, replicas);
+  std::reverse(replicas.begin(), replicas.end());
+  b.list(ListKind::cached, replicas);
   EXPECT_EQ(placements(a), placements(b));
 }
 
@@ -104,7 +105,7 @@
   Script s(plain());
   s.list(ListKind::cached, fleet(9));
   const auto before = placements(s);
-  s.list(ListKind::delta, {warm_worker(3, 1.0)});  // a low id: order by id would shift every slot
+  s.list(ListKind::delta, {warm_replica(3, 1.0)});  // a low id: order by id would shift every slot
   const auto after = placements(s);
   for (std::size_t i = 0; i < before.size(); ++i) EXPECT_TRUE(before[i] == after[i] || after[i] == 3u);
   EXPECT_NEAR(differing(before, after), 20, 15);
@@ -113,10 +114,10 @@
 // A leaver in mid-order must not shift the slots behind it.
 TEST(Slots, ALeaverMovesOnlyItsOwnKeys) {
   Script s(plain());
-  const auto workers = fleet(9);
-  s.list(ListKind::cached, workers);
+  const auto replicas = fleet(9);
+  s.list(ListKind::cached, replicas);
   const auto before = placements(s);
-  Worker gone = workers[3];
+  Replica gone = replicas[3];
   gone.health = Health::gone;
   s.list(ListKind::delta, {gone});
   const auto after = placements(s);
@@ -130,12 +131,12 @@
 
 TEST(Slots, ASuccessorFillsTheTombstone) {
   Script s(plain());
-  const auto workers = fleet(9);
-  s.list(ListKind::cached, workers);
+  const auto replicas = fleet(9);
+  s.list(ListKind::cached, replicas);
   const auto before = placements(s);
-  Worker gone = workers[3];
+  Replica gone = replicas[3];
   gone.health = Health::gone;
-  s.list(ListKind::delta, {gone, warm_worker(5, 1.0)});
+  s.list(ListKind::delta, {gone, warm_replica(5, 1.0)});
   const auto after = placements(s);
   for (std::size_t i = 0; i < before.size(); ++i) EXPECT_EQ(after[i], before[i] == gone.id ? 5u : before[i]);
 }
@@ -147,12 +148,12 @@
     Settings set = plain();
     set.weights = source;
     Script s(set);
-    auto workers = fleet(4);
-    workers[0].size = 3.0;
-    workers[0].kind = 1;
-    s.list(ListKind::cached, workers);
+    auto replicas = fleet(4);
+    replicas[0].size = 3.0;
+    replicas[0].kind = 1;
+    s.list(ListKind::cached, replicas);
     const auto at = placements(s, 1200);
-    EXPECT_NEAR(std::count(at.begin(), at.end(), workers[0].id), source == WeightSource::rough ? 791 : 600,
+    EXPECT_NEAR(std::count(at.begin(), at.end(), replicas[0].id), source == WeightSource::rough ? 791 : 600,
                 60);
   }
 }
@@ -162,11 +163,11 @@
   Settings set = plain();
   set.weights = WeightSource::live;
   Script s(set);
-  auto workers = fleet(6);
-  s.list(ListKind::cached, workers);
+  auto replicas = fleet(6);
+  s.list(ListKind::cached, replicas);
   const auto before = placements(s);
-  workers[2].size = 0.1;
-  s.list(ListKind::delta, {workers[2]});
+  replicas[2].size = 0.1;
+  s.list(ListKind::delta, {replicas[2]});
   EXPECT_EQ(placements(s), before);
 }
 
@@ -206,9 +207,9 @@
   Script s(plain());
   s.list(ListKind::cached, fleet(3));
   s.query(ask(1, 5));
-  s.b.on_gone(s.now, 1, s);
+  s.b.on_client_disconnected(s.now, 1, s);
   s.respond(1, 0, Outcome::error, true);
-  s.b.on_gone(s.now, 999, s);
+  s.b.on_client_disconnected(s.now, 999, s);
   s.respond(998, 3, Outcome::ok, true);
   s.accept(997, 1);
   s.run_to(120.0);
@@ -239,7 +240,7 @@
 
 TEST(Effects, AnUnsafeRequestIsNotRepeatedNorRefusedOnceItMayHaveRun) {
   Settings set = plain();
-  set.classes[0].semantics = Semantics::unsafe;
+  set.classes[0].semantics = Semantics::not_idempotent;
   Script s(set);
   s.list(ListKind::cached, fleet(6));
   s.query(ask(1, 5));
@@ -249,36 +250,37 @@
   EXPECT_EQ(s.of(Action::attempt, 1).size(), 2u);
   s.respond(1, 1, Outcome::reset, false);
   EXPECT_EQ(s.of(Action::attempt, 1).size(), 2u);
-  EXPECT_EQ(s.of(Action::busy, 1).size(), 0u);
+  EXPECT_EQ(s.of(Action::reject, 1).size(), 0u);
   EXPECT_EQ(s.of(Action::fail, 1).size(), 1u);
 }
 
 TEST(Effects, AKeyedRequestStaysInItsGroupAndWithinItsTime) {
   Settings set = plain();
   set.zones = 2;
-  set.classes[0].semantics = Semantics::keyed;
-  set.classes[0].group = Group::zone;
+  set.classes[0].semantics = Semantics::idempotency_key;
+  set.classes[0].idempotency_scope = IdempotencyScope::zone;
   set.classes[0].key_ttl = 1.5;
   set.may_duplicate = false;
   for (std::uint64_t session = 1; session < 40; ++session) {
     Script s(set);
-    auto workers = fleet(8);
-    for (std::size_t i = 0; i < workers.size(); ++i) workers[i].zone = i % 2;
-    s.list(ListKind::cached, workers);
-    const auto zone = [&](WorkerId id) {
-      return std::find_if(workers.begin(), workers.end(), [&](const Worker& w) { return w.id == id; })->zone;
+    auto replicas = fleet(8);
+    for (std::size_t i = 0; i < replicas.size(); ++i) replicas[i].zone = i % 2;
+    s.list(ListKind::cached, replicas);
+    const auto zone = [&](ReplicaId id) {
+      return std::find_if(replicas.begin(), replicas.end(), [&](const Replica& w) { return w.id == id; })
+          ->zone;
     };
     s.query(ask(1, session));
     s.run_to(101.0);
     s.respond(1, 0, Outcome::error, false);
     auto sent = s.of(Action::attempt, 1);
     ASSERT_EQ(sent.size(), 2u);
-    EXPECT_EQ(zone(sent[0].worker), zone(sent[1].worker));
+    EXPECT_EQ(zone(sent[0].replica), zone(sent[1].replica));
     s.run_to(101.6);  // key_ttl counts from the first attempt that may have run
     s.respond(1, 1, Outcome::error, false);
     EXPECT_EQ(s.of(Action::attempt, 1).size(), 2u);
     EXPECT_EQ(s.of(Action::fail, 1).size(), 1u);
-    EXPECT_EQ(s.of(Action::busy, 1).size(), 0u);
+    EXPECT_EQ(s.of(Action::reject, 1).size(), 0u);
   }
 }
 
@@ -287,7 +289,7 @@
   for (const double dial : {0.0, 0.1, 0.4}) {
     for (const double ends : {0.9, 1.05, 1.2, 1.45}) {
       Settings set = plain();
-      set.classes[0].semantics = Semantics::keyed;
+      set.classes[0].semantics = Semantics::idempotency_key;
       set.classes[0].key_ttl = 1.5;
       set.may_duplicate = false;
       set.dial_timeout = dial;
@@ -314,21 +316,21 @@
   t.query(ask(1, 5));
   t.run_to(101.0);
   ASSERT_EQ(t.of(Action::attempt, 1).size(), 2u);
-  EXPECT_NE(t.of(Action::attempt, 1)[0].worker, t.of(Action::attempt, 1)[1].worker);
+  EXPECT_NE(t.of(Action::attempt, 1)[0].replica, t.of(Action::attempt, 1)[1].replica);
 }
 
 // ---- rule 3: drains ---------------------------------------------------------------------------------------
 
 TEST(Drains, NothingNewGoesToADrainingOrGoneReplicaNotEvenARetry) {
   Script s(plain());
-  auto workers = fleet(4);
-  s.list(ListKind::cached, workers);
+  auto replicas = fleet(4);
+  s.list(ListKind::cached, replicas);
   s.query(ask(1, 5));
-  const WorkerId first = s.of(Action::attempt, 1)[0].worker;
-  for (Worker& w : workers) {
-    if (w.id != first) w.health = w.id == workers[0].id ? Health::gone : Health::draining;
+  const ReplicaId first = s.of(Action::attempt, 1)[0].replica;
+  for (Replica& w : replicas) {
+    if (w.id != first) w.health = w.id == replicas[0].id ? Health::gone : Health::draining;
   }
-  s.list(ListKind::delta, workers);
+  s.list(ListKind::delta, replicas);
   s.respond(1, 0, Outcome::error, false);
   s.run_to(104.0);
   EXPECT_EQ(s.of(Action::attempt, 1).size(), 1u);
@@ -356,14 +358,14 @@
               all = static_cast<int>((10.0 + seconds) * rate_each);
     for (int i = 0; i < all; ++i, ++id) {
       s.run_to(100.0 + (i + 0.3) / rate_each);
-      if (i == before) s.list(ListKind::delta, {warm_worker(4, s.now)});
+      if (i == before) s.list(ListKind::delta, {warm_replica(4, s.now)});
       s.query(ask(id, static_cast<std::uint64_t>(r) * 100000 + id));
       // Every warm replica fails for a while, so that retries press on the cold one too.
       if (i % 3 == 0) s.respond(id, 0, Outcome::error, false);
       s.accept(id, static_cast<std::uint32_t>(s.tries[id] - 1));
     }
     for (const Action& a : s.of(Action::attempt)) {
-      if (a.worker == 4) times.push_back(a.id);
+      if (a.replica == 4) times.push_back(a.id);
     }
     for (double& t : times) {
       if (t >= 1.0) t = -(100.0 + (t - 1.0 + 0.3) / rate_each);  // when that request was sent
@@ -402,7 +404,7 @@
   const auto weight = [uneven](int r) { return uneven ? 1.0 / (1 + r % 10) : 1.0; };
   double weights = 0.0;
   for (int r = 0; r < alive; ++r) weights += weight(r);
-  std::map<WorkerId, std::vector<double>> sent;
+  std::map<ReplicaId, std::vector<double>> sent;
   for (int r = 0; r < alive; ++r) {
     Script s(set, 1000 + static_cast<std::uint64_t>(r));
     s.list(ListKind::cached, fleet(40));
@@ -413,15 +415,15 @@
       s.run_to(at);
       if (!joined && at >= join) {
         joined = true;
-        std::vector<Worker> now;
-        for (const Worker& w : fleet(warm)) now.push_back(w);
-        for (int i = 0; i < joiners; ++i) now.push_back(warm_worker(1 + i, from + 20.0));
+        std::vector<Replica> now;
+        for (const Replica& w : fleet(warm)) now.push_back(w);
+        for (int i = 0; i < joiners; ++i) now.push_back(warm_replica(1 + i, from + 20.0));
         s.list(ListKind::full, now);
       }
       const RequestId id = s.next_id++;
       s.query(ask(id, mixed(id * 100 + r)));
       for (const Action& a : s.of(Action::attempt, id)) {
-        if (a.worker <= 40) sent[a.worker].push_back(at - from - 20.0);
+        if (a.replica <= 40) sent[a.replica].push_back(at - from - 20.0);
       }
       if (s.tries[id] == 0) continue;
       s.accept(id, 0);
@@ -430,7 +432,7 @@
     }
   }
   ColdJoin out;
-  for (auto& [worker, times] : sent) {
+  for (auto& [replica, times] : sent) {
     std::sort(times.begin(), times.end());
     for (std::size_t i = 0, j = 0; i < times.size(); ++i) {
       while (j < times.size() && times[j] < times[i] + set.fall_s) ++j;
@@ -473,24 +475,24 @@
   std::size_t sent[2];
   for (const bool shrinks : {false, true}) {
     Script s(set);
-    auto workers = fleet(12);
-    s.list(ListKind::cached, workers);
+    auto replicas = fleet(12);
+    s.list(ListKind::cached, replicas);
     RequestId id = 1;
     for (; id <= 1200; ++id) {
       s.run_to(100.0 + static_cast<double>(id) * 0.01);
       s.query(ask(id, id));
-      s.b.on_gone(s.now, id, s);
+      s.b.on_client_disconnected(s.now, id, s);
     }
-    for (std::size_t i = 2; shrinks && i < workers.size(); ++i) workers[i].health = Health::gone;
-    workers[0].born = s.now;
-    s.list(ListKind::delta, workers);
+    for (std::size_t i = 2; shrinks && i < replicas.size(); ++i) replicas[i].health = Health::gone;
+    replicas[0].started_at = s.now;
+    s.list(ListKind::delta, replicas);
     for (; id <= 1400; ++id) {
       s.run_to(100.0 + static_cast<double>(id) * 0.01);
       s.query(ask(id, id));
-      s.b.on_gone(s.now, id, s);
+      s.b.on_client_disconnected(s.now, id, s);
     }
     sent[shrinks] = 0;
-    for (const Action& a : s.of(Action::attempt)) sent[shrinks] += a.worker == workers[0].id && a.id > 1200;
+    for (const Action& a : s.of(Action::attempt)) sent[shrinks] += a.replica == replicas[0].id && a.id > 1200;
   }
   EXPECT_LE(sent[1], static_cast<std::size_t>(0.5 * 3.0 * 0.18 * (100.0 / 12.0) * 2.0 + 3.0));
 }
@@ -500,23 +502,23 @@
   Settings set = plain();
   set.cold_from = 0.1;
   Script s(set);
-  auto workers = fleet(10);
-  s.list(ListKind::cached, workers);
+  auto replicas = fleet(10);
+  s.list(ListKind::cached, replicas);
   RequestId id = 1;
   std::size_t sent = 0;
   for (; id <= 6000; ++id) {
     s.run_to(100.0 + static_cast<double>(id) * 0.01);
     if (id % 500 == 0 && id / 500 < 8) {
-      workers[id / 500].health = Health::gone;
-      s.list(ListKind::delta, {workers[id / 500]});
+      replicas[id / 500].health = Health::gone;
+      s.list(ListKind::delta, {replicas[id / 500]});
     }
-    if (id == 5800) s.list(ListKind::delta, {warm_worker(3, s.now)});
+    if (id == 5800) s.list(ListKind::delta, {warm_replica(3, s.now)});
     s.query(ask(id, mixed(id)));
     if (id >= 5800) {
       const auto first = s.of(Action::attempt, id);
-      sent += !first.empty() && first[0].worker == 3;
+      sent += !first.empty() && first[0].replica == 3;
     }
-    s.b.on_gone(s.now, id, s);
+    s.b.on_client_disconnected(s.now, id, s);
   }
   // 100 a second over 10 replicas, at most 3 times a share of 0.1 to 0.18, for 2 s
   EXPECT_LE(sent, static_cast<std::size_t>(3.0 * 0.14 * 10.0 * 2.0));
@@ -524,21 +526,21 @@
 
 TEST(ColdStart, ARestartedIdIsColdAgain) {
   Script s(plain());
-  auto workers = fleet(2);
-  s.list(ListKind::cached, workers);
+  auto replicas = fleet(2);
+  s.list(ListKind::cached, replicas);
   const auto before = placements(s, 400);
-  workers[0].born = s.now;
-  s.list(ListKind::delta, {workers[0]});
+  replicas[0].started_at = s.now;
+  s.list(ListKind::delta, {replicas[0]});
   const auto after = placements(s, 400);
-  const auto n = std::count(after.begin(), after.end(), workers[0].id);
-  EXPECT_LT(n, std::count(before.begin(), before.end(), workers[0].id) / 3);
+  const auto n = std::count(after.begin(), after.end(), replicas[0].id);
+  EXPECT_LT(n, std::count(before.begin(), before.end(), replicas[0].id) / 3);
 }
 
 TEST(ColdStart, WithEveryReplicaColdRequestsWaitAndAreStillAnswered) {
   Settings set = plain();
   set.fall_multiple = 0.5;
   Script s(set);
-  s.list(ListKind::cached, {warm_worker(1, 100.0), warm_worker(2, 100.0)});
+  s.list(ListKind::cached, {warm_replica(1, 100.0), warm_replica(2, 100.0)});
   for (RequestId id = 1; id <= 100; ++id) s.query(ask(id, id));
   s.run_to(106.0);
   EXPECT_LT(s.of(Action::attempt).size(), 60u);
@@ -552,8 +554,8 @@
   s.list(ListKind::cached, fleet(8));
   s.query(ask(1, 5));
   for (std::uint32_t n = 0; n < 3; ++n) s.respond(1, n, Outcome::full, false);
-  std::set<WorkerId> seen;
-  for (const Action& a : s.of(Action::attempt, 1)) seen.insert(a.worker);
+  std::set<ReplicaId> seen;
+  for (const Action& a : s.of(Action::attempt, 1)) seen.insert(a.replica);
   EXPECT_EQ(seen.size(), 4u);
 }
 
@@ -561,12 +563,12 @@
   Script s(plain());
   s.list(ListKind::cached, fleet(8));
   const auto before = placements(s);
-  const WorkerId bad = before[0];
+  const ReplicaId bad = before[0];
   for (RequestId id = 1; id <= 5; ++id) {
     s.query(ask(id, 1000003));
     const auto sent = s.of(Action::attempt, id);
-    if (sent.back().worker == bad) s.respond(id, 0, Outcome::reset, false);
-    s.b.on_gone(s.now, id, s);
+    if (sent.back().replica == bad) s.respond(id, 0, Outcome::reset, false);
+    s.b.on_client_disconnected(s.now, id, s);
     for (std::uint32_t n = 0; n < s.tries[id]; ++n) s.respond(id, n, Outcome::cancelled, true);
   }
   const auto during = placements(s);
@@ -587,7 +589,7 @@
   for (RequestId id = 1; id <= 20; ++id) {
     s.query(ask(id, 1000003));
     s.respond(id, 0, Outcome::full, false);
-    s.b.on_gone(s.now, id, s);
+    s.b.on_client_disconnected(s.now, id, s);
     s.respond(id, 1, Outcome::cancelled, true);
   }
   s.run_to(s.now + 2.0);
@@ -602,7 +604,7 @@
 TEST(Failures, AFullReplicaIsPassedOverForAMoment) {
   Script s(plain());
   s.list(ListKind::cached, fleet(8));
-  const WorkerId home = s.placed(77);
+  const ReplicaId home = s.placed(77);
   s.query(ask(1, 77));
   s.respond(1, 0, Outcome::full, false);  // it may be draining: the list will tell, late
   EXPECT_NE(s.placed(77), home);
@@ -622,24 +624,24 @@
 
 // ---- hot prefixes -----------------------------------------------------------------------------------------
 
-Query prefixed(RequestId id, std::uint64_t session, std::uint64_t prefix, double part) {
-  Query q = ask(id, session);
+NewRequest prefixed(RequestId id, std::uint64_t session, std::uint64_t prefix, double part) {
+  NewRequest q = ask(id, session);
   q.prefix_id = prefix;
   q.prompt_tokens = 1000.0;
   q.prefix_tokens = 1000.0 * part;
   return q;
 }
-std::set<WorkerId> replicas_of_prefix(Script& s, RequestId from, double part, int others) {
-  std::set<WorkerId> seen;
+std::set<ReplicaId> replicas_of_prefix(Script& s, RequestId from, double part, int others) {
+  std::set<ReplicaId> seen;
   for (RequestId id = from; id < from + 200; ++id) {
     for (int k = 0; k < others; ++k) {
       const RequestId other = id * 100 + static_cast<RequestId>(k);
       s.query(prefixed(other, other, other, 0.9));
-      s.b.on_gone(s.now, other, s);
+      s.b.on_client_disconnected(s.now, other, s);
     }
     s.query(prefixed(id, id, 42, part));
-    if (id >= from + 100) seen.insert(s.of(Action::attempt, id)[0].worker);
-    s.b.on_gone(s.now, id, s);
+    if (id >= from + 100) seen.insert(s.of(Action::attempt, id)[0].replica);
+    s.b.on_client_disconnected(s.now, id, s);
     s.run_to(s.now + 0.05);
   }
   return seen;
@@ -675,16 +677,16 @@
   s.list(ListKind::cached, fleet(40));
   for (RequestId id = 1; id <= 100; ++id) s.query(prefixed(id, id, id, 0.9));  // prompts of 1,000
   const auto long_prompt = [&](RequestId id, double prefix_tokens) {
-    Query q = prefixed(id, id, 42, 0.9);
+    NewRequest q = prefixed(id, id, 42, 0.9);
     q.prompt_tokens = 4000.0;
     q.prefix_tokens = prefix_tokens;
     s.query(q);
-    return s.of(Action::attempt, id)[0].worker;
+    return s.of(Action::attempt, id)[0].replica;
   };
   s.query(prefixed(1000, 1000, 42, 0.9));
-  const WorkerId home = s.of(Action::attempt, 1000)[0].worker;
+  const ReplicaId home = s.of(Action::attempt, 1000)[0].replica;
   EXPECT_EQ(long_prompt(1001, 900.0), home);
-  std::set<WorkerId> short_prefix;  // one of 300 is under half of the mean prompt: each goes by its session
+  std::set<ReplicaId> short_prefix;  // one of 300 is under half of the mean prompt: each goes by its session
   for (RequestId id = 2000; id < 2010; ++id) short_prefix.insert(long_prompt(id, 300.0));
   EXPECT_GT(short_prefix.size(), 3u);
 }
@@ -694,13 +696,13 @@
 std::size_t width(int replicas, int prefixes, bool kept) {
   Script s(plain());
   s.list(ListKind::cached, fleet(replicas));
-  std::set<WorkerId> seen;
+  std::set<ReplicaId> seen;
   for (RequestId id = 1; id <= 1500; ++id) {
     s.run_to(s.now + 0.02);
     s.query(prefixed(id, mixed(id), 1 + id % static_cast<RequestId>(prefixes), 0.9));
     const auto sent = s.of(Action::attempt, id);
     if (sent.empty()) continue;
-    if (id > 700 && id % static_cast<RequestId>(prefixes) == 0) seen.insert(sent[0].worker);
+    if (id > 700 && id % static_cast<RequestId>(prefixes) == 0) seen.insert(sent[0].replica);
     s.accept(id, 0);
     s.respond(id, 0, Outcome::ok, true, kept ? 1000 : 0);
   }
@@ -722,10 +724,10 @@
     Settings set = plain();
     set.weights = source;
     Script s(set);
-    auto workers = fleet(10);
-    for (std::size_t i = 0; i < workers.size(); ++i) workers[i].kind = i % 2;
-    s.list(ListKind::cached, workers);
-    const auto slow = [&](WorkerId id) { return id / 7919 % 2 == 0; };
+    auto replicas = fleet(10);
+    for (std::size_t i = 0; i < replicas.size(); ++i) replicas[i].kind = i % 2;
+    s.list(ListKind::cached, replicas);
+    const auto slow = [&](ReplicaId id) { return id / 7919 % 2 == 0; };
     std::multimap<double, RequestId> ends;
     const auto finish_until = [&](double t) {
       while (!ends.empty() && ends.begin()->first <= t) {
@@ -739,7 +741,7 @@
       finish_until(100.0 + static_cast<double>(id) * 0.1);
       s.query(ask(id, mixed(id)));
       s.accept(id, 0);
-      ends.emplace(s.now + (slow(s.of(Action::attempt, id)[0].worker) ? 3.0 : 1.0), id);
+      ends.emplace(s.now + (slow(s.of(Action::attempt, id)[0].replica) ? 3.0 : 1.0), id);
     }
     const auto at = placements(s, 400);
     const auto n = std::count_if(at.begin(), at.end(), slow);
@@ -758,22 +760,23 @@
     Settings set = plain();
     set.weights = WeightSource::rough;
     Script s(set);
-    auto workers = fleet(10);
-    for (std::size_t i = 0; i < workers.size(); ++i) {
-      workers[i].kind = i % 2;
-      workers[i].size = workers[i].kind == 1 ? 6.0 : 4.0;
+    auto replicas = fleet(10);
+    for (std::size_t i = 0; i < replicas.size(); ++i) {
+      replicas[i].kind = i % 2;
+      replicas[i].size = replicas[i].kind == 1 ? 6.0 : 4.0;
     }
-    s.list(ListKind::cached, workers);
-    const auto kind = [&](WorkerId id) {
-      return std::find_if(workers.begin(), workers.end(), [&](const Worker& w) { return w.id == id; })->kind;
+    s.list(ListKind::cached, replicas);
+    const auto kind = [&](ReplicaId id) {
+      return std::find_if(replicas.begin(), replicas.end(), [&](const Replica& w) { return w.id == id; })
+          ->kind;
     };
     for (int i = 1; i <= requests; ++i) {
       const auto id = static_cast<RequestId>(i);
-      Query q = ask(id, mixed(id));
+      NewRequest q = ask(id, mixed(id));
       q.prompt_tokens = 1000.0 * (1 + i % 5);
       const auto kept = static_cast<std::uint32_t>(i % 2 == 0 ? 600 : 0);
       s.query(q);
-      const bool slow = kind(s.of(Action::attempt, id)[0].worker) == 1;
+      const bool slow = kind(s.of(Action::attempt, id)[0].replica) == 1;
       const double tokens = q.prompt_tokens - kept + ReadCost::kStepTokens;
       s.run_to(s.now + tokens * (slow ? seconds_per_token : 3e-5));
       s.accept(id, 0);
@@ -781,7 +784,7 @@
       s.respond(id, 0, Outcome::ok, true, kept);
     }
     const auto at = placements(s, 400);
-    return std::count_if(at.begin(), at.end(), [&](WorkerId id) { return kind(id) == 1; }) / 400.0;
+    return std::count_if(at.begin(), at.end(), [&](ReplicaId id) { return kind(id) == 1; }) / 400.0;
   };
   EXPECT_GT(share_of_slow(0, 9e-5), 0.6);   // all that is known is what the list says
   EXPECT_LT(share_of_slow(24, 9e-5), 0.4);  // reads at a third of the others' speed, streams as long
@@ -820,7 +823,7 @@
         s.respond(ends.begin()->second, 0, Outcome::ok, true);
       s.query(ask(id, mixed(id + 100 * router)));
       s.accept(id, 0);
-      const bool slow = s.of(Action::attempt, id)[0].worker == 7919;
+      const bool slow = s.of(Action::attempt, id)[0].replica == 7919;
       ends.emplace(s.now + (slow ? 30.0 : 1.0), id);
       (id <= 20 ? early : late) += slow;
     }
@@ -834,12 +837,12 @@
 TEST(Crowds, ACrowdedReplicaDeclinesKeysUntilItHasFewer) {
   Script s(plain());
   s.list(ListKind::cached, fleet(8));
-  const WorkerId home = s.placed(77);
-  std::map<WorkerId, int> at;
+  const ReplicaId home = s.placed(77);
+  std::map<ReplicaId, int> at;
   for (RequestId id = 1; id <= 60; ++id) {
     s.query(ask(id, 77));
     s.accept(id, 0);
-    ++at[s.of(Action::attempt, id)[0].worker];
+    ++at[s.of(Action::attempt, id)[0].replica];
   }
   EXPECT_GE(at[home], 5);
   EXPECT_LE(at[home], 15);  // of 60; the mean is under 8
@@ -853,14 +856,14 @@
   set.zone = 1;
   set.price_cross_zone = 0.1;
   Script s(set);
-  auto workers = fleet(9);
-  for (std::size_t i = 0; i < workers.size(); ++i) workers[i].zone = i < 3 ? 1 : 0;
-  s.list(ListKind::cached, workers);
+  auto replicas = fleet(9);
+  for (std::size_t i = 0; i < replicas.size(); ++i) replicas[i].zone = i < 3 ? 1 : 0;
+  s.list(ListKind::cached, replicas);
   int own = 0;
   for (RequestId id = 1; id <= 180; ++id) {
     s.query(ask(id, mixed(id)));
     s.accept(id, 0);
-    own += s.of(Action::attempt, id)[0].worker <= workers[2].id;
+    own += s.of(Action::attempt, id)[0].replica <= replicas[2].id;
   }
   EXPECT_GT(own, 60);   // its due by size and more
   EXPECT_LT(own, 110);  // but not all that a third of the fleet would choke on
@@ -875,11 +878,11 @@
     set.zone = 1;
     set.price_cross_zone = price;
     Script s(set);
-    auto workers = fleet(8);
-    for (std::size_t i = 0; i < workers.size(); ++i) workers[i].zone = i % 2;
-    s.list(ListKind::cached, workers);
+    auto replicas = fleet(8);
+    for (std::size_t i = 0; i < replicas.size(); ++i) replicas[i].zone = i % 2;
+    s.list(ListKind::cached, replicas);
     int own = 0;
-    for (const WorkerId id : placements(s)) own += id / 7919 % 2 == 0;
+    for (const ReplicaId id : placements(s)) own += id / 7919 % 2 == 0;
     if (price == 0.1) {
       EXPECT_EQ(own, 200);
     }
@@ -894,12 +897,12 @@
   set.zone = 1;
   set.price_cross_zone = 0.1;
   Script s(set);
-  auto workers = fleet(8);
-  for (std::size_t i = 0; i < workers.size(); ++i) workers[i].zone = i == 1 ? 1 : 0;
-  s.list(ListKind::cached, workers);
+  auto replicas = fleet(8);
+  for (std::size_t i = 0; i < replicas.size(); ++i) replicas[i].zone = i == 1 ? 1 : 0;
+  s.list(ListKind::cached, replicas);
   const auto at = placements(s);
-  EXPECT_LT(std::count(at.begin(), at.end(), workers[1].id), 140);
-  EXPECT_GT(std::count(at.begin(), at.end(), workers[1].id), 30);
+  EXPECT_LT(std::count(at.begin(), at.end(), replicas[1].id), 140);
+  EXPECT_GT(std::count(at.begin(), at.end(), replicas[1].id), 30);
 }
 
 // A fleet of many routers, each of which meets a replica seldom: what one finds out late, all do.
@@ -914,15 +917,15 @@
   set.price_cross_zone = 0.1;
   return set;
 }
-std::vector<Worker> two_zones() {
-  auto workers = fleet(40);
-  for (std::size_t i = 0; i < workers.size(); ++i) workers[i].zone = i % 2;
-  return workers;
+std::vector<Replica> two_zones() {
+  auto replicas = fleet(40);
+  for (std::size_t i = 0; i < replicas.size(); ++i) replicas[i].zone = i % 2;
+  return replicas;
 }
 // One router of 100 gets 3 requests a second for some seconds; replicas for which down() is true refuse the
 // connection, others answer at once.
 template <typename Down>
-Meeting meet(Script& s, double seconds, const std::vector<Worker>& workers, const Down& down) {
+Meeting meet(Script& s, double seconds, const std::vector<Replica>& replicas, const Down& down) {
   Meeting m;
   const double end = s.now + seconds;
   while (s.now < end) {
@@ -930,7 +933,7 @@
     const RequestId id = s.next_id++;
     s.query(ask(id, mixed(id)));
     for (std::uint32_t n = 0; n < s.tries[id]; ++n) {
-      const WorkerId at = s.of(Action::attempt, id)[n].worker;
+      const ReplicaId at = s.of(Action::attempt, id)[n].replica;
       if (down(at)) {
         ++m.failed;
         s.respond(id, n, Outcome::connect_failed, false);
@@ -939,7 +942,7 @@
       s.accept(id, n);
       s.respond(id, n, Outcome::ok, true);
       ++m.served;
-      for (const Worker& w : workers) m.own += w.id == at && w.zone == 1;
+      for (const Replica& w : replicas) m.own += w.id == at && w.zone == 1;
     }
   }
   return m;
@@ -955,13 +958,13 @@
   set.may_duplicate = false;
   for (const double own_takes : {2.0, 0.1}) {
     Script s(set);
-    auto workers = fleet(20);
-    std::set<WorkerId> own;
-    for (std::size_t i = 0; i < workers.size(); ++i) {
-      workers[i].zone = i % 4;
-      if (i % 4 == 0) own.insert(workers[i].id);
+    auto replicas = fleet(20);
+    std::set<ReplicaId> own;
+    for (std::size_t i = 0; i < replicas.size(); ++i) {
+      replicas[i].zone = i % 4;
+      if (i % 4 == 0) own.insert(replicas[i].id);
     }
-    s.list(ListKind::cached, workers);
+    s.list(ListKind::cached, replicas);
     int crossed = 0, refused = 0;
     for (RequestId id = 1; id <= 120; ++id) {  // as seldom as a router of so many sees one
       s.run_to(100.0 + static_cast<double>(id) * 2.5);
@@ -969,7 +972,7 @@
       const auto sent = s.of(Action::attempt, id);
       refused += sent.empty();
       if (sent.empty()) continue;
-      const bool crosses = own.count(sent[0].worker) == 0;
+      const bool crosses = own.count(sent[0].replica) == 0;
       if (id > 60) crossed += crosses;
       s.run_to(s.now + (crosses ? 0.1 : own_takes));
       s.accept(id, 0);
@@ -986,32 +989,32 @@
 
 TEST(Zones, ALostOneIsPassedOverAfterAFewFailedConnectsAndComesBack) {
   Settings set = one_of_many();
-  set.most_tries = 3;
-  auto workers = two_zones();
-  const auto own = [](WorkerId id) { return id / 7919 % 2 == 0; };
+  set.max_attempts = 3;
+  auto replicas = two_zones();
+  const auto own = [](ReplicaId id) { return id / 7919 % 2 == 0; };
   Meeting all;
   for (std::uint64_t router = 0; router < 100; ++router) {
     Script s(set, router + 1);
-    s.list(ListKind::cached, workers);
+    s.list(ListKind::cached, replicas);
     s.next_id += router * 1000;
-    meet(s, 5.0, workers, [](WorkerId) { return false; });
-    const Meeting lost = meet(s, 10.0, workers, own);
+    meet(s, 5.0, replicas, [](ReplicaId) { return false; });
+    const Meeting lost = meet(s, 10.0, replicas, own);
     all.failed += lost.failed;
     all.served += lost.served;
-    for (Worker& w : workers) w.born = own(w.id) ? s.now - 50.0 : 0.0;  // back, as the list tells
-    s.list(ListKind::full, workers);
-    all.own += meet(s, 5.0, workers, [](WorkerId) { return false; }).own;
-    for (Worker& w : workers) w.born = 0.0;
+    for (Replica& w : replicas) w.started_at = own(w.id) ? s.now - 50.0 : 0.0;  // back, as the list tells
+    s.list(ListKind::full, replicas);
+    all.own += meet(s, 5.0, replicas, [](ReplicaId) { return false; }).own;
+    for (Replica& w : replicas) w.started_at = 0.0;
   }
   EXPECT_LT(all.failed, 100 * 8);            // 20 replicas are lost; a router finds out by a handful
   EXPECT_GT(all.served, 100 * 30 * 9 / 10);  // nearly every request, in the other zone
   EXPECT_GT(all.own, 100 * 15 / 2);          // and at home again
 }
 TEST(Zones, OneReplicaOutOfReachIsNoLostZone) {
-  const auto workers = two_zones();
+  const auto replicas = two_zones();
   Script s(one_of_many());
-  s.list(ListKind::cached, workers);
-  const Meeting m = meet(s, 60.0, workers, [&](WorkerId id) { return id == workers[1].id; });
+  s.list(ListKind::cached, replicas);
+  const Meeting m = meet(s, 60.0, replicas, [&](ReplicaId id) { return id == replicas[1].id; });
   EXPECT_LT(m.failed, 15);
   EXPECT_GT(m.own, m.served * 9 / 10);
 }
@@ -1027,7 +1030,7 @@
     RequestId id = 1;
     for (int i = 0; i < 400; ++i, ++id) {
       s.run_to(s.now + 0.01);
-      Query q = ask(id, id);
+      NewRequest q = ask(id, id);
       q.tenant = i % 4 == 0 ? 1 : 0;
       s.query(q);
       if (strained && q.tenant == 1) {
@@ -1036,7 +1039,7 @@
       }
     }
     std::size_t refused = 0;
-    for (RequestId k = 1; k < id; ++k) refused += k % 4 != 1 && !s.of(Action::busy, k).empty();
+    for (RequestId k = 1; k < id; ++k) refused += k % 4 != 1 && !s.of(Action::reject, k).empty();
     if (strained) {
       EXPECT_GT(refused, 50u);
     }
@@ -1050,15 +1053,15 @@
 TEST(Shedding, ThinsUnderLateAnswersCheapWorthFirstAndStopsInCalm) {
   Settings set = plain();
   set.classes.push_back(set.classes[0]);
-  set.classes[0].worth = 5.0;
+  set.classes[0].priority_weight = 5.0;
   Script s(set);
   s.list(ListKind::cached, fleet(8));
   std::size_t refused[3][2] = {};
   RequestId id = 1;
   for (int phase = 0; phase < 3; ++phase) {
     for (int i = 0; i < 200; ++i, ++id) {
-      Query q = ask(id, mixed(id), s.now + 5.0);
-      q.klass = static_cast<std::uint32_t>(i % 2);
+      NewRequest q = ask(id, mixed(id), s.now + 5.0);
+      q.request_class = static_cast<std::uint32_t>(i % 2);
       s.query(q);
       refused[phase][i % 2] += s.finals(id);
       if (phase == 1) s.run_to(s.now + 1.5);
@@ -1084,8 +1087,8 @@
 TEST(Shedding, RefusesNeitherTheLargestRequestsNorWholeSessions) {
   for (int variant = 0; variant < 3; ++variant) {
     Settings set = plain();
-    set.worth_by_work = variant == 1;
-    set.classes[0].aim_per_1000 = variant == 2 ? 0.06 : 0.0;
+    set.priority_weight_by_work = variant == 1;
+    set.classes[0].latency_objective_per_1000_tokens = variant == 2 ? 0.06 : 0.0;
     set.classes[0].late_value = variant == 2 ? 0.3 : 0.0;
     Script s(set);
     s.list(ListKind::cached, fleet(8));
@@ -1095,7 +1098,7 @@
     RequestId id = 1;
     for (int turn = 0; turn < kTurns; ++turn) {
       for (int session = 0; session < kSessions; ++session, ++id) {
-        Query q = ask(id, 1 + static_cast<std::uint64_t>(session), s.now + 5.0);
+        NewRequest q = ask(id, 1 + static_cast<std::uint64_t>(session), s.now + 5.0);
         const bool large = id % 10 == 3;
         q.prompt_tokens = large ? 20000.0 : 1000.0;
         s.query(q);
@@ -1204,10 +1207,10 @@
 TEST(OddSettings, LeadToAnswersAllTheSame) {
   Settings odd[5];
   odd[1].classes.emplace_back();
-  odd[1].classes[0].aim = -1.0;
+  odd[1].classes[0].latency_objective = -1.0;
   odd[1].classes[0].hard_limit = 0.0;
   odd[2] = plain();
-  odd[2].most_tries = 0;
+  odd[2].max_attempts = 0;
   odd[2].balancers = -5;
   odd[2].cold_from = std::nan("");
   odd[2].fall_multiple = 0.0;
@@ -1219,13 +1222,13 @@
   odd[4].tenants = {{-3.0, 0.0}, {std::nan(""), 1.0}};
   for (const Settings& set : odd) {
     Script s(set);
-    auto workers = fleet(3);
-    workers[0].size = 0.0;
-    workers[1].size = std::nan("");
-    s.list(ListKind::cached, workers);
+    auto replicas = fleet(3);
+    replicas[0].size = 0.0;
+    replicas[1].size = std::nan("");
+    s.list(ListKind::cached, replicas);
     for (RequestId id = 1; id <= 50; ++id) {
-      Query q = ask(id, id % 3 == 0 ? 0 : id);
-      q.klass = static_cast<std::uint32_t>(id % 4);
+      NewRequest q = ask(id, id % 3 == 0 ? 0 : id);
+      q.request_class = static_cast<std::uint32_t>(id % 4);
       q.tenant = static_cast<std::uint32_t>(id % 4);
       q.hint = id % 5 == 0 ? std::nan("") : 1.0;
       s.query(q);
@@ -1247,12 +1250,12 @@
   Settings set = plain();
   set.retry_after = true;
   Script old(set, 1), heir(set, 2), fresh(set, 2);
-  auto workers = fleet(9);
-  old.list(ListKind::cached, workers);
-  Worker gone = workers[2];
+  auto replicas = fleet(9);
+  old.list(ListKind::cached, replicas);
+  Replica gone = replicas[2];
   gone.health = Health::gone;
   old.list(ListKind::delta, {gone});
-  workers.erase(workers.begin() + 2);
+  replicas.erase(replicas.begin() + 2);
   for (RequestId id = 1; id <= 60; ++id) {
     old.run_to(old.now + 0.05);
     old.query(ask(id, mixed(id)));
@@ -1261,17 +1264,17 @@
     old.accept(id, 0);
     old.respond(id, 0, Outcome::ok, true);
   }
-  const WorkerId bad = workers[4].id;
+  const ReplicaId bad = replicas[4].id;
   std::uint64_t there = 1;
   while (old.placed(there) != bad) ++there;
   for (RequestId id = 101; id <= 104; ++id) {
     old.query(ask(id, there));
     for (const Action& a : old.of(Action::attempt, id))
-      old.respond(id, 0, a.worker == bad ? Outcome::reset : Outcome::cancelled, true);
+      old.respond(id, 0, a.replica == bad ? Outcome::reset : Outcome::cancelled, true);
   }
   for (Script* s : {&heir, &fresh}) {
     s->run_to(old.now);
-    s->list(ListKind::cached, workers);
+    s->list(ListKind::cached, replicas);
   }
   heir.b.adopt(heir.now, old.b.learned(), heir);
   for (Script* s : {&old, &heir, &fresh}) {
@@ -1285,9 +1288,9 @@
   EXPECT_LT(heir.b.learned().admit, 0.95);
   int moved = 0, all = 0, differ = 0;
   for (std::uint64_t session = 1; session <= 400; ++session) {
-    const WorkerId before = old.placed(session);
+    const ReplicaId before = old.placed(session);
     if (before == 0) continue;
-    const WorkerId after = heir.placed(session), without = fresh.placed(session);
+    const ReplicaId after = heir.placed(session), without = fresh.placed(session);
     if (after == 0) continue;   // refused by its own draw
     differ += after != before;  // each refuses by its own draw, so that what they see parts slowly
     moved += without != before;
@@ -1321,8 +1324,8 @@
       s.run_to(s.now + 0.07);
     }
     s.run_to(140.0);
-    std::vector<std::pair<RequestId, WorkerId>> sent;
-    for (const Action& a : s.log) sent.emplace_back(a.id, a.worker);
+    std::vector<std::pair<RequestId, ReplicaId>> sent;
+    for (const Action& a : s.log) sent.emplace_back(a.id, a.replica);
     return sent;
   };
   EXPECT_EQ(play(), play());
@@ -1346,17 +1349,17 @@
   Script s(plain());
   s.list(ListKind::cached, fleet(4));
   std::uint64_t session = 1;
-  const WorkerId home = s.placed(session);
-  s.b.on_warning(s.now, home, 3.0);
-  s.b.on_warning(s.now, 12345, 3.0);  // on nobody's list
+  const ReplicaId home = s.placed(session);
+  s.b.on_health_warning(s.now, home, 3.0);
+  s.b.on_health_warning(s.now, 12345, 3.0);  // on nobody's list
   EXPECT_EQ(s.b.avoided(s.now), 1u);
   EXPECT_NE(s.placed(session), home);
   s.run_to(s.now + 3.1);
   EXPECT_EQ(s.placed(session), home);
-  s.b.on_warning(s.now, home, 1e9);  // no word counts for longer than 10 s
+  s.b.on_health_warning(s.now, home, 1e9);  // no word counts for longer than 10 s
   s.run_to(s.now + 10.1);
   EXPECT_EQ(s.placed(session), home);
-  for (const Worker& w : fleet(4)) s.b.on_warning(s.now, w.id, 5.0);
+  for (const Replica& w : fleet(4)) s.b.on_health_warning(s.now, w.id, 5.0);
   EXPECT_NE(s.placed(session), 0u);  // with all of them warned of, one is picked even so
 }
 
@@ -1369,10 +1372,10 @@
   std::size_t within = 0, over = 0;
   for (RequestId id = 1; id <= 400; ++id) {
     s.run_to(s.now + 0.05);
-    Query q = ask(id, id);
-    q.budget = id % 2 == 0 ? Budget::within : Budget::over;
+    NewRequest q = ask(id, id);
+    q.quota_status = id % 2 == 0 ? QuotaStatus::within : QuotaStatus::over;
     s.query(q);
-    (id % 2 == 0 ? within : over) += s.of(Action::busy, id).size();
+    (id % 2 == 0 ? within : over) += s.of(Action::reject, id).size();
     if (s.tries[id] == 0) continue;
     s.run_to(s.now + (id % 7 < 3 ? 1.5 : 0.01));  // more are late than the module aims at
     s.accept(id, 0);
--- a/tests/recordings/frozen_names_test.cpp
+++ b/tests/recordings/frozen_names_test.cpp
@@ -70,18 +70,18 @@
   EXPECT_EQ(config_.tenants, std::vector<std::string>{"acme"});
   ASSERT_EQ(settings.classes.size(), 2u);
   const policy::ClassSettings& chat = settings.classes[0];
-  EXPECT_EQ(chat.aim, 1.25);
+  EXPECT_EQ(chat.latency_objective, 1.25);
   EXPECT_EQ(chat.hard_limit, 6.5);
-  EXPECT_EQ(chat.worth, 4.5);
+  EXPECT_EQ(chat.priority_weight, 4.5);
   EXPECT_EQ(chat.late_value, 0.25);
   EXPECT_EQ(chat.key_ttl, 7.5);
-  EXPECT_EQ(chat.semantics, policy::Semantics::keyed);
-  EXPECT_EQ(chat.group, policy::Group::cell);
+  EXPECT_EQ(chat.semantics, policy::Semantics::idempotency_key);
+  EXPECT_EQ(chat.idempotency_scope, policy::IdempotencyScope::cell);
   EXPECT_TRUE(chat.streamed);
-  EXPECT_DOUBLE_EQ(chat.aim_per_1000, 0.03);
-  EXPECT_EQ(settings.classes[1].semantics, policy::Semantics::unsafe);
-  EXPECT_EQ(settings.classes[1].group, policy::Group::zone);
-  EXPECT_DOUBLE_EQ(settings.classes[1].aim_per_1000, 0.04);
+  EXPECT_DOUBLE_EQ(chat.latency_objective_per_1000_tokens, 0.03);
+  EXPECT_EQ(settings.classes[1].semantics, policy::Semantics::not_idempotent);
+  EXPECT_EQ(settings.classes[1].idempotency_scope, policy::IdempotencyScope::zone);
+  EXPECT_DOUBLE_EQ(settings.classes[1].latency_objective_per_1000_tokens, 0.04);
   ASSERT_EQ(settings.tenants.size(), 1u);
   EXPECT_EQ(settings.tenants[0].quota_per_s, 12.5);
   EXPECT_EQ(settings.tenants[0].share, 0.75);
@@ -95,8 +95,8 @@
   EXPECT_EQ(settings.rank, 4);
   EXPECT_EQ(settings.zone, 1);
   EXPECT_EQ(settings.zones, 2);
-  EXPECT_EQ(settings.over_share_worth, 0.125);
-  EXPECT_TRUE(settings.worth_by_work);
+  EXPECT_EQ(settings.over_quota_weight, 0.125);
+  EXPECT_TRUE(settings.priority_weight_by_work);
   EXPECT_TRUE(settings.list_pushed);
   EXPECT_EQ(settings.weights, policy::WeightSource::rough);
   EXPECT_TRUE(settings.marks_retry);
@@ -107,7 +107,7 @@
   const policy::Settings& settings = config_.module;
   EXPECT_TRUE(settings.may_cancel && settings.may_duplicate && settings.may_probe && settings.may_peer);
   EXPECT_TRUE(settings.retry_after);
-  EXPECT_EQ(settings.most_tries, 4);
+  EXPECT_EQ(settings.max_attempts, 4);
   EXPECT_EQ(settings.max_retry_after, 2.5);
   EXPECT_EQ(settings.dial_timeout, 0.25);
   EXPECT_EQ(config_.dial_timeout, 250 * core::kMilli);
@@ -130,7 +130,7 @@
   EXPECT_EQ(config.name, "n1");
   EXPECT_EQ(config.classes, std::vector<std::string>{"chat"});
   EXPECT_EQ(config.tenants, std::vector<std::string>{"acme"});
-  EXPECT_EQ(config.module.most_tries, 3);
+  EXPECT_EQ(config.module.max_attempts, 3);
   EXPECT_EQ(config.sockets, 1024u);
 }
 
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -281,7 +281,7 @@
                            : health < 9 || kind == policy::ListKind::full ? policy::Health::draining
                                                                           : policy::Health::gone;
     entry.replica.size = static_cast<double>(random_.between(1, 9)) / 4.0;
-    entry.replica.born = random_.one_in(3) ? static_cast<double>(random_.below(100)) : 0.0;
+    entry.replica.started_at = random_.one_in(3) ? static_cast<double>(random_.below(100)) : 0.0;
     return entry;
   }
 
@@ -350,7 +350,7 @@
       hash_.add_integer(n);
     hash_.add_integer(static_cast<std::uint64_t>(endpoint.replica.health));
     hash_.add_double(endpoint.replica.size);
-    hash_.add_double(endpoint.replica.born);
+    hash_.add_double(endpoint.replica.started_at);
   }
 
   EventRandom random_;
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -123,7 +123,7 @@
   EXPECT_EQ(read.replica.cell, sample.replica.cell);
   EXPECT_EQ(read.replica.health, sample.replica.health);
   EXPECT_EQ(read.replica.size, sample.replica.size);
-  EXPECT_EQ(read.replica.born, sample.replica.born);
+  EXPECT_EQ(read.replica.started_at, sample.replica.started_at);
 }
 
 TEST_F(StoredData, StateSnapshotIsRead) {
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -29,7 +29,7 @@
   out.at = at;
   return out;
 }
-core::Endpoint replica(std::uint64_t id, const std::string& address, Health health, double born) {
+core::Endpoint replica(std::uint64_t id, const std::string& address, Health health, double started_at) {
   core::Endpoint out;
   out.address = address;
   out.replica.id = id;
@@ -38,7 +38,7 @@
   out.replica.cell = static_cast<std::uint32_t>(id % 5 + 7);
   out.replica.health = health;
   out.replica.size = 0.5 + static_cast<double>(id % 4) / 4;
-  out.replica.born = born;
+  out.replica.started_at = started_at;
   return out;
 }
 policy::Known known_replica(double step) {
@@ -267,13 +267,13 @@
 namespace {
 
 coordination::Count count(std::uint64_t served, std::uint64_t refused, std::uint64_t failed,
-                          std::uint64_t tokens, std::uint64_t worth) {
+                          std::uint64_t tokens, std::uint64_t priority_weight) {
   coordination::Count out;
   out.set_served(served);
   out.set_refused(refused);
   out.set_failed(failed);
   out.set_tokens(tokens);
-  out.set_worth(worth);
+  out.set_worth(priority_weight);
   return out;
 }
 
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -396,19 +396,19 @@
 void labels_are_checked() {
   const config::Labels labels{{"a", "b"}, {"t"}, {1, 2}};
   core::Request rpc;
-  CHECK(config::apply({.klass = "b", .tenant = "t", .session = "ff"}, labels, rpc).empty());
-  CHECK(rpc.klass == 1 && rpc.patience == 2 && rpc.session == 255);
-  CHECK(!config::apply({.klass = "c", .tenant = "t"}, labels, rpc).empty());
-  CHECK(!config::apply({.klass = "a", .tenant = "u"}, labels, rpc).empty());
-  CHECK(!config::apply({.klass = "a", .tenant = "t", .prompt_tokens = "nan"}, labels, rpc).empty());
-  CHECK(!config::apply({.klass = "a", .tenant = "t", .expires_ms = "-1"}, labels, rpc).empty());
+  CHECK(config::apply({.request_class = "b", .tenant = "t", .session = "ff"}, labels, rpc).empty());
+  CHECK(rpc.request_class == 1 && rpc.patience == 2 && rpc.session == 255);
+  CHECK(!config::apply({.request_class = "c", .tenant = "t"}, labels, rpc).empty());
+  CHECK(!config::apply({.request_class = "a", .tenant = "u"}, labels, rpc).empty());
+  CHECK(!config::apply({.request_class = "a", .tenant = "t", .prompt_tokens = "nan"}, labels, rpc).empty());
+  CHECK(!config::apply({.request_class = "a", .tenant = "t", .expires_ms = "-1"}, labels, rpc).empty());
   CHECK(config::name_to_key("") == 0 && config::name_to_key("zebra") != 0);
   // A guess at the work that is none costs the request nothing.
-  CHECK(config::apply({.klass = "a", .tenant = "t", .work_hint = "1500"}, labels, rpc).empty());
+  CHECK(config::apply({.request_class = "a", .tenant = "t", .work_hint = "1500"}, labels, rpc).empty());
   CHECK(rpc.work_hint == 1500.0);
   for (const char* none : {"", "0", "-5", "nan", "inf", "1e12", "many", "12 "}) {
     core::Request other;
-    CHECK(config::apply({.klass = "a", .tenant = "t", .work_hint = none}, labels, other).empty());
+    CHECK(config::apply({.request_class = "a", .tenant = "t", .work_hint = none}, labels, other).empty());
     CHECK(other.work_hint == 0.0);
   }
 }
@@ -423,7 +423,8 @@
       names, news));
   CHECK(news.version == 7 && news.kind == flintglade::policy::ListKind::delta && news.entries.size() == 2);
   CHECK(news.entries[0].replica.kind == 1 && news.entries[0].replica.health == Health::draining);
-  CHECK(news.entries[0].replica.born == 2.0 && news.entries[0].replica.id == discovery::replica_id("s"));
+  CHECK(news.entries[0].replica.started_at == 2.0 &&
+        news.entries[0].replica.id == discovery::replica_id("s"));
   // A state that nobody knows is no word that a replica is gone.
   core::EndpointListUpdate odd;
   CHECK(discovery::parse_list(
@@ -594,16 +595,16 @@
     });
   };
   // From the last to the first: each goes before the ones above it.
-  CHECK(mapped({}).klass == "last" && mapped({}).tenant == "last" && mapped({}).expires_ms.empty());
-  CHECK(mapped(set.models[0]).klass == "order" && mapped(set.models[0]).tenant == "of-model");
+  CHECK(mapped({}).request_class == "last" && mapped({}).tenant == "last" && mapped({}).expires_ms.empty());
+  CHECK(mapped(set.models[0]).request_class == "order" && mapped(set.models[0]).tenant == "of-model");
   (*request.mutable_parameters())["priority"].set_int64_param(1);
-  CHECK(mapped(set.models[0]).klass == "chat");
+  CHECK(mapped(set.models[0]).request_class == "chat");
   (*request.mutable_parameters())["priority"].set_int64_param(2);  // not in the table: it stands for itself
-  CHECK(mapped(set.models[0]).klass == "2");
+  CHECK(mapped(set.models[0]).request_class == "2");
   metadata["x-class"] = "1";
-  CHECK(mapped(set.models[0]).klass == "chat");
+  CHECK(mapped(set.models[0]).request_class == "chat");
   metadata["flintglade-class"] = "1";
-  CHECK(mapped(set.models[0]).klass == "1");
+  CHECK(mapped(set.models[0]).request_class == "1");
   (*request.mutable_parameters())["sequence_id"].set_uint64_param(77);
   CHECK(mapped({}).session == "77");
   auto& timeout = (*request.mutable_parameters())["timeout"];
@@ -720,7 +721,7 @@
         [&](const std::string& name) { return name == kserve::kTenant ? claimed : std::string_view(); },
         &bound[0]);
   };
-  CHECK(mapped("").tenant == "acme" && mapped("").denied.empty() && mapped("").klass == "chat");
+  CHECK(mapped("").tenant == "acme" && mapped("").denied.empty() && mapped("").request_class == "chat");
   CHECK(mapped("acme").denied.empty() && !mapped("ops").denied.empty());
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -27,9 +27,9 @@
   }
   return out;
 }
-WorkerId worker(std::vector<std::uint8_t> b) {  // address and port as they lie on the wire
-  return (WorkerId{b[0]} | WorkerId{b[1]} << 8 | WorkerId{b[2]} << 16 | WorkerId{b[3]} << 24) << 16 |
-         (WorkerId{b[4]} | WorkerId{b[5]} << 8);
+ReplicaId replica(std::vector<std::uint8_t> b) {  // address and port as they lie on the wire
+  return (ReplicaId{b[0]} | ReplicaId{b[1]} << 8 | ReplicaId{b[2]} << 16 | ReplicaId{b[3]} << 24) << 16 |
+         (ReplicaId{b[4]} | ReplicaId{b[5]} << 8);
 }
 
 const char* kBatch =
@@ -53,7 +53,7 @@
   ASSERT_TRUE(reader.next(e));
   EXPECT_EQ(std::get<Instance>(e).index, 3u);
   ASSERT_TRUE(reader.next(e));
-  const Query q = std::get<Query>(e);
+  const NewRequest q = std::get<NewRequest>(e);
   EXPECT_EQ(q.id, 0x0006ae6f5d3a91c4u);
   EXPECT_EQ(q.key, 0x91f03b7c55d20a64u);
   EXPECT_EQ(q.prefix_id, 0x2b8e6401d9f37c10u);
@@ -80,15 +80,15 @@
   BatchReader reader(bytes.data(), bytes.size(), 1);
   Event e;
   ASSERT_TRUE(reader.next(e)) << reader.error();
-  const ListChange list = std::get<ListChange>(e);
+  const EndpointListChange list = std::get<EndpointListChange>(e);
   EXPECT_EQ(list.kind, ListKind::cached);
   EXPECT_EQ(list.version, 41u);
-  ASSERT_EQ(list.workers.size(), 2u);
-  EXPECT_EQ(list.workers[0].id, worker({0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b}));
-  EXPECT_EQ(list.workers[1].zone, 1u);
-  EXPECT_EQ(list.workers[1].health, Health::ready);
-  EXPECT_DOUBLE_EQ(list.workers[1].size, 1.5);
-  EXPECT_DOUBLE_EQ(list.workers[1].born, 6.1);
+  ASSERT_EQ(list.replicas.size(), 2u);
+  EXPECT_EQ(list.replicas[0].id, replica({0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b}));
+  EXPECT_EQ(list.replicas[1].zone, 1u);
+  EXPECT_EQ(list.replicas[1].health, Health::ready);
+  EXPECT_DOUBLE_EQ(list.replicas[1].size, 1.5);
+  EXPECT_DOUBLE_EQ(list.replicas[1].started_at, 6.1);
 }
 
 TEST(Wire, ReadsTheExampleResponse) {
@@ -97,7 +97,7 @@
   BatchReader reader(bytes.data(), bytes.size(), 1);
   Event e;
   ASSERT_TRUE(reader.next(e)) << reader.error();
-  const Response r = std::get<Response>(e);
+  const AttemptResult r = std::get<AttemptResult>(e);
   EXPECT_EQ(r.outcome, Outcome::ok);
   EXPECT_NEAR(r.latency, 0.0185, 0.0001);
   EXPECT_TRUE(r.closed);
@@ -112,8 +112,8 @@
   BatchReader reader(bytes.data(), bytes.size(), 3);
   Event e;
   ASSERT_TRUE(reader.next(e)) << reader.error();
-  EXPECT_EQ(std::get<Pong>(e).report, (std::vector<float>{1, 2, 3}));
-  EXPECT_EQ(std::get<Pong>(e).outcome, Outcome::timeout);
+  EXPECT_EQ(std::get<HealthCheckResult>(e).report, (std::vector<float>{1, 2, 3}));
+  EXPECT_EQ(std::get<HealthCheckResult>(e).outcome, Outcome::timeout);
   ASSERT_TRUE(reader.next(e)) << reader.error();
   EXPECT_EQ(std::get<Peer>(e).from, 7u);
   EXPECT_EQ(std::get<Peer>(e).bytes, "hi");
@@ -127,7 +127,7 @@
   double allow = 0.0, span = 0.5;
   const auto allow_bytes = hex("7b14ae47e17ab43f");
   std::copy(allow_bytes.begin(), allow_bytes.end(), reinterpret_cast<std::uint8_t*>(&allow));
-  w.attempt(0x0006ae6f5d3a91c4u, worker({0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b}), allow);
+  w.attempt(0x0006ae6f5d3a91c4u, replica({0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b}), allow);
   w.set_timer(span, 0x4d);
   EXPECT_EQ(to_hex(w.finish()),
             "03000000"
@@ -142,7 +142,7 @@
 TEST(Wire, WritesEveryOtherAction) {
   ReplyWriter w;
   w.set_instance(1);
-  w.busy(2, 0.5);
+  w.reject(2, 0.5);
   w.fail(3);
   w.set_instance(4);
   w.stop_attempt(5, 6);
