--- a/src/commands/fleet.cpp
+++ b/src/commands/fleet.cpp
@@ -114,7 +114,7 @@
   return why;
 }
 
-const char* word(coordination::Standing s) {
+const char* word(coordination::MemberStatus s) {
   static constexpr std::array<const char*, 4> kNames = {"alive", "suspect", "dead", "left"};
   return kNames[static_cast<std::size_t>(s)];
 }
@@ -123,7 +123,7 @@
   std::printf("%-28s %10s  %-20s %s\n", "JOB", "NUMBER", "OWNER", "");
   for (const coordination::Job& j : s.table().jobs()) {
     bool held = false;
-    for (const coordination::Held& h : s.held())
+    for (const coordination::HeldLease& h : s.held())
       held = held || (h.job() == j.name() && h.number() == j.number());
     std::printf("%-28s %10llu  %-20s %s\n", j.name().c_str(), static_cast<unsigned long long>(j.number()),
                 j.owner().empty() ? "-" : j.owner().c_str(),
@@ -173,7 +173,7 @@
     print_voters(s);
     print_jobs(s);
     std::printf("%-20s %-12s %-22s %-8s\n", "ROUTER", "SITE", "AT", "STANDING");
-    for (const coordination::Word& w : s.routers())
+    for (const coordination::MemberState& w : s.routers())
       std::printf("%-20s %-12s %-22s %-8s\n", w.name().c_str(), w.site().c_str(), w.at().c_str(),
                   word(w.standing()));
   });
--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -89,10 +89,10 @@
   // What the member's side has for us, on its thread.
   shared::SharedState::Ports ports;
   ports.unix_time = unix_now;
-  ports.parcel = [this](const coordination::Parcel& p) {
+  ports.parcel = [this](const coordination::QuotaLease& p) {
     asio::post(io_, [this, p] { quota_holder_.parcel(wallet_time(clock_.now()), p); });
   };
-  ports.lend = [this](const std::string& who, const coordination::Ask& ask) {
+  ports.lend = [this](const std::string& who, const coordination::QuotaRequest& ask) {
     asio::post(io_, [this, who, ask] {
       const auto parcel = quota_holder_.lend(wallet_time(clock_.now()), who, ask);
       if (!parcel || member_ == nullptr) return;
@@ -153,7 +153,7 @@
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   const std::size_t team = std::min<std::size_t>(rpc.tenant, config_.tenants.size());
   const std::size_t request_class = std::min<std::size_t>(rpc.request_class, classes - 1);
-  coordination::Count& c = counts_[team * classes + request_class];
+  coordination::RequestCounts& c = counts_[team * classes + request_class];
   if (outcome == RequestOutcome::refused) return c.set_refused(c.refused() + 1);
   if (outcome == RequestOutcome::failed) return c.set_failed(c.failed() + 1);
   c.set_served(c.served() + 1);
@@ -169,7 +169,7 @@
   shared::ReplicatedCounter::Counts out;
   const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
   for (std::size_t i = 0; i < counts_.size(); ++i) {
-    const coordination::Count& c = counts_[i];
+    const coordination::RequestCounts& c = counts_[i];
     if (c.served() + c.refused() + c.failed() == 0) continue;
     const std::size_t team = i / classes;
     out[{team < config_.tenants.size() ? config_.tenants[team] : "",
--- a/src/commands/shared_state_bridge.h
+++ b/src/commands/shared_state_bridge.h
@@ -58,7 +58,7 @@
   shared::QuotaHolder quota_holder_;
   shared::HealthObserver health_observer_;
   shared::EjectionPolicy ejection_policy_;
-  std::vector<coordination::Count> counts_;  // by team and class; the last team is none
+  std::vector<coordination::RequestCounts> counts_;  // by team and class; the last team is none
   std::vector<std::string> unknown_;
   boost::asio::steady_timer alarm_;
   Micros next_tell_ = 0, next_seen_ = 0, next_save_ = 0;
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -37,7 +37,7 @@
         send(at, p);
       },
       [this](const Command& command, const Applied& applied) {
-        for (const Held& h : applied.renewed) lease_manager_.renewed(now_, command.renew().owner(), h);
+        for (const HeldLease& h : applied.renewed) lease_manager_.renewed(now_, command.renew().owner(), h);
         if (command.has_grant() && applied.changed) {
           lease_manager_.granted(now_, applied.job);
           event("job_granted", {{"job", applied.job},
@@ -215,7 +215,7 @@
   }
   heard_voter_ = now;
   if (asked.renew)
-    lease_holder_.renewed(asked.sent, std::vector<Held>(reply.held().begin(), reply.held().end()));
+    lease_holder_.renewed(asked.sent, std::vector<HeldLease>(reply.held().begin(), reply.held().end()));
 }
 
 void CoordinationProtocol::answer(Micros now, const std::string& to, const Request& request) {
@@ -227,7 +227,7 @@
     r.set_done(done);
     r.set_why(why);
     if (!done) r.set_leader_at(leader_at_);
-    for (const Held& h : applied.renewed) *r.add_held() = h;
+    for (const HeldLease& h : applied.renewed) *r.add_held() = h;
     send(to, p);
   };
   if (!node_ || !node_->leads()) {
@@ -254,7 +254,7 @@
 
 // What goes into the log counts already for what is decided next.
 void CoordinationProtocol::goes_in(Micros now, const Command& command) {
-  for (const Held& h : node_->jobs().still(command.renew()))
+  for (const HeldLease& h : node_->jobs().still(command.renew()))
     lease_manager_.renewed(now, command.renew().owner(), h);
 }
 
@@ -375,7 +375,7 @@
     ++effects_unproved_;
     return false;
   }
-  for (const Held& h : lease_holder_.held(now)) {
+  for (const HeldLease& h : lease_holder_.held(now)) {
     if (h.job() == effect.job()) effect.set_number(h.number());
   }
   effect.set_sequence(++sequence_);
@@ -415,14 +415,15 @@
   send(to->at, p);
 }
 
-void CoordinationProtocol::share(const std::string& name, const std::string& at, const Share& share) {
+void CoordinationProtocol::share(const std::string& name, const std::string& at,
+                                 const SharedStateMessage& share) {
   if (displaced_) return;
   Packet p = swim_.packet(name);
   *p.mutable_share() = share;
   send(at, p);
 }
 
-void CoordinationProtocol::draw(Micros now, const Draw& draw) {
+void CoordinationProtocol::draw(Micros now, const StockDraw& draw) {
   Command c;
   *c.mutable_draw() = draw;
   ask(now, c);
@@ -469,7 +470,7 @@
   }
   *s.mutable_table() = table();
   for (const Voter& v : voters_) *s.add_voters() = v;
-  for (const Held& h : lease_holder_.held(now)) *s.add_held() = h;
+  for (const HeldLease& h : lease_holder_.held(now)) *s.add_held() = h;
   *s.add_routers() = membership::word_of(swim_.self());
   for (const auto& [name, p] : swim_.others()) *s.add_routers() = membership::word_of(p);
   s.set_health(swim_.health());
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -56,7 +56,7 @@
     Effect effect;     // of an admitted effect
     std::string from;  // of a want or a share: where it came from
     std::uint32_t rev = 0;
-    Share share;
+    SharedStateMessage share;
     std::string who;  // of a share: whose, and of which life
     std::uint64_t birth = 0;
   };
@@ -81,9 +81,9 @@
   // False: nothing was written.
   bool effect(Micros now, Effect effect, const std::string& site, const std::string& to = "");
   // To one router: what all share.
-  void share(const std::string& name, const std::string& at, const Share& share);
+  void share(const std::string& name, const std::string& at, const SharedStateMessage& share);
   // For the owner of a job: takes a part of a stock, once the record says so.
-  void draw(Micros now, const Draw& draw);
+  void draw(Micros now, const StockDraw& draw);
   // Asks the owner of a job what came after.
   void want(Micros now, const std::string& job, std::uint32_t rev);
 
@@ -93,7 +93,7 @@
 
   const membership::Swim& peers() const { return swim_; }
   const RaftNode* node() const { return node_.get(); }
-  const Table& table() const { return votes() ? node_->jobs().table() : table_; }
+  const LeaseTable& table() const { return votes() ? node_->jobs().table() : table_; }
   const FencingTokens& fence() const { return fence_; }
   bool proved(Micros now, const std::string& job) const { return lease_holder_.proved(now, job); }
   // Who owns it by the record; null: nobody, or a router that this one does not know.
@@ -129,7 +129,7 @@
   LeaseManager lease_manager_;
   LeaseHolder lease_holder_;
   FencingTokens fence_;
-  Table table_;  // by what voters said, where this router is none
+  LeaseTable table_;  // by what voters said, where this router is none
   std::vector<Voter> voters_;
   std::string leader_at_;
   Micros heard_voter_ = -1, leader_since_ = 0, next_read_ = 0, leaving_ = -1, now_ = 0;
--- a/src/coordination/lease_holder.cpp
+++ b/src/coordination/lease_holder.cpp
@@ -8,7 +8,7 @@
 constexpr Micros kReleaseAgain = 100 * core::kMilli;
 }
 
-void LeaseHolder::record(const Table& table, std::uint64_t birth) {
+void LeaseHolder::record(const LeaseTable& table, std::uint64_t birth) {
   birth_ = birth;
   std::map<std::string, Mine> now;
   for (const Job& j : table.jobs()) {
@@ -37,7 +37,7 @@
   for (const auto& [job, mine] : mine_) {
     // Once a release has gone out it may arrive at any time: this number is never proved again.
     if (mine.unwanted || leaving_ || mine.released >= 0) continue;
-    Held* h = out.add_held();
+    HeldLease* h = out.add_held();
     h->set_job(job);
     h->set_number(mine.number);
   }
@@ -46,8 +46,8 @@
   return out;
 }
 
-void LeaseHolder::renewed(Micros sent, const std::vector<Held>& held) {
-  for (const Held& h : held) {
+void LeaseHolder::renewed(Micros sent, const std::vector<HeldLease>& held) {
+  for (const HeldLease& h : held) {
     const auto it = mine_.find(h.job());
     if (it == mine_.end() || it->second.number != h.number() || it->second.released >= 0) continue;
     it->second.until = std::max(it->second.until, sent + times_.lease - times_.margin());
@@ -79,8 +79,8 @@
   return it != mine_.end() && now < it->second.until;
 }
 
-std::vector<Held> LeaseHolder::held(Micros now) const {
-  std::vector<Held> out;
+std::vector<HeldLease> LeaseHolder::held(Micros now) const {
+  std::vector<HeldLease> out;
   for (const auto& [job, mine] : mine_) {
     if (now >= mine.until) continue;
     out.emplace_back();
--- a/src/coordination/lease_holder.h
+++ b/src/coordination/lease_holder.h
@@ -23,20 +23,20 @@
   LeaseHolder(LeaseTimes times, std::string name) : times_(times), name_(std::move(name)) {}
 
   // What the record says now. Jobs that are another's, or of an earlier life of this router, are given up.
-  void record(const Table& table, std::uint64_t birth);
+  void record(const LeaseTable& table, std::uint64_t birth);
   // To be sent now, or nothing. A renewal that is not answered is sent again, and counts from its own
   // sending.
   std::optional<Renew> renewal(Micros now);
   // The renewal that was sent at that moment is committed, and these are still this router's.
-  void renewed(Micros sent, const std::vector<Held>& held);
+  void renewed(Micros sent, const std::vector<HeldLease>& held);
   // Releases to be sent now: of jobs that an operator wants elsewhere, or all at the end.
   std::vector<Release> releases(Micros now);
   void give_up_all() { leaving_ = true; }
 
   // Whether an effect may be written at this very moment: the lease is proved, less the margin.
   bool proved(Micros now, const std::string& job) const;
-  std::vector<Held> held(Micros now) const;  // all that are proved
-  std::vector<Change> changes(Micros now);   // jobs that start or stop; call it at next() and after each word
+  std::vector<HeldLease> held(Micros now) const;  // all that are proved
+  std::vector<Change> changes(Micros now);  // jobs that start or stop; call it at next() and after each word
   Micros next() const;
 
  private:
--- a/src/coordination/lease_manager.cpp
+++ b/src/coordination/lease_manager.cpp
@@ -44,7 +44,7 @@
   silent_.clear();
 }
 
-void LeaseManager::renewed(Micros now, const std::string& owner, const Held& held) {
+void LeaseManager::renewed(Micros now, const std::string& owner, const HeldLease& held) {
   over_[held.job()] = now + times_.lease + times_.margin();
   silent_.erase(owner);
 }
--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -39,7 +39,7 @@
   void follows() { leading_ = false; }
   // A renewal goes into the log, and again: it is committed. From the first on it counts: a grant that came
   // behind it in the log would find an owner whose lease has just been proved.
-  void renewed(Micros now, const std::string& owner, const Held& held);
+  void renewed(Micros now, const std::string& owner, const HeldLease& held);
   // Nobody has proved the new number yet: until its first renewal is in the log, it can be given to another
   // one at once.
   void granted(Micros now, const std::string& job);
--- a/src/coordination/lease_state_machine.cpp
+++ b/src/coordination/lease_state_machine.cpp
@@ -12,9 +12,9 @@
 }
 Job* LeaseStateMachine::get(const std::string& name) { return const_cast<Job*>(find(name)); }
 
-std::vector<Held> LeaseStateMachine::still(const Renew& renew) const {
-  std::vector<Held> out;
-  for (const Held& h : renew.held()) {
+std::vector<HeldLease> LeaseStateMachine::still(const Renew& renew) const {
+  std::vector<HeldLease> out;
+  for (const HeldLease& h : renew.held()) {
     const Job* job = find(h.job());
     if (job != nullptr && job->number() == h.number() && job->owner() == renew.owner() &&
         job->birth() == renew.birth())
@@ -79,7 +79,7 @@
 
 // The sum of all draws of a window never passes its whole: a draw of a former owner, of a window that is over
 // or one that was done already changes nothing, and the last one gets what is left.
-bool LeaseStateMachine::draw(const Draw& d) {
+bool LeaseStateMachine::draw(const StockDraw& d) {
   const Job* job = find(d.job());
   if (job == nullptr || job->number() != d.number() || d.amount() <= 0 || d.whole() <= 0) return false;
   Stock* stock = nullptr;
--- a/src/coordination/lease_state_machine.h
+++ b/src/coordination/lease_state_machine.h
@@ -16,17 +16,17 @@
 
 // What a command did.
 struct Applied {
-  bool changed = false;       // the table is another
-  std::string job;            // of a Grant, Release, Move or Draw
-  std::vector<Held> renewed;  // of a Renew: what is still the asker's
+  bool changed = false;            // the table is another
+  std::string job;                 // of a Grant, Release, Move or Draw
+  std::vector<HeldLease> renewed;  // of a Renew: what is still the asker's
 };
 
 class LeaseStateMachine {
  public:
   Applied apply(const Command& command);
   const Job* find(std::string_view name) const;
-  std::vector<Held> still(const Renew& renew) const;  // what of it is the asker's at present
-  const Table& table() const { return table_; }
+  std::vector<HeldLease> still(const Renew& renew) const;  // what of it is the asker's at present
+  const LeaseTable& table() const { return table_; }
   std::string save() const { return table_.SerializeAsString(); }
   bool load(std::string_view bytes) {
     return table_.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
@@ -34,8 +34,8 @@
 
  private:
   Job* get(const std::string& name);
-  bool draw(const Draw& d);
-  Table table_;
+  bool draw(const StockDraw& d);
+  LeaseTable table_;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/shared_endpoint_list.cpp
+++ b/src/coordination/shared_endpoint_list.cpp
@@ -45,7 +45,7 @@
 }
 
 void SharedEndpointList::keep(std::uint32_t after, std::uint32_t rev, std::string_view text) {
-  Line l;
+  ListLine l;
   l.set_after(after);
   l.set_rev(rev);
   l.set_text(text.data(), text.size());
@@ -65,7 +65,7 @@
   e.set_source(source_);
   e.set_rev(rev);
   if (text.size() <= kMostInEffect) {
-    Line* l = e.add_lines();
+    ListLine* l = e.add_lines();
     l->set_after(after);
     l->set_rev(rev);
     l->set_text(text.data(), text.size());
@@ -83,7 +83,7 @@
   if (e.source() != source_) return;
   if (state_ == State::reader) return;  // of one that does not know yet that it is none any more
   heard_ = clock_.now();
-  for (const Line& l : e.lines()) {
+  for (const ListLine& l : e.lines()) {
     if (l.rev() <= rev_ || l.after() > rev_) continue;
     if (!ports_.feed(l.text())) continue;
     rev_ = l.rev();
@@ -110,7 +110,7 @@
   e.set_rev(rev_);
   std::size_t size = 0;
   std::uint32_t at = rev;
-  for (const Line& l : lines_) {
+  for (const ListLine& l : lines_) {
     if (l.rev() <= at || l.after() > at || size + l.text().size() > kMostInEffect) continue;
     *e.add_lines() = l;
     size += l.text().size();
--- a/src/coordination/shared_endpoint_list.h
+++ b/src/coordination/shared_endpoint_list.h
@@ -71,7 +71,7 @@
   State state_ = State::alone;
   bool observed_ = false;
   std::uint32_t rev_ = 0;
-  std::deque<Line> lines_;
+  std::deque<ListLine> lines_;
   std::size_t bytes_ = 0;
   Micros heard_ = 0, behind_since_ = -1, wait_ = 0, next_beat_ = core::kNever, asked_ = 0;
 };
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -17,10 +17,10 @@
 // Whole answers of a Sync: many may come back at once after a cut.
 constexpr Micros kAnswerApart = 100 * core::kMilli;
 
-int worse(Standing s) { return static_cast<int>(s); }
+int worse(MemberStatus s) { return static_cast<int>(s); }
 
 // Whether a word says something newer than what is known.
-bool newer(const coordination::Word& w, const Peer& than) {
+bool newer(const coordination::MemberState& w, const Peer& than) {
   if (w.birth() != than.birth) return w.birth() > than.birth;
   // Who has left or is dead in this life comes back by a new incarnation or a new life only.
   if (w.incarnation() != than.incarnation) return w.incarnation() > than.incarnation;
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-coordination::Word word_of(const Peer& p) {
-  coordination::Word w;
+coordination::MemberState word_of(const Peer& p) {
+  coordination::MemberState w;
   w.set_name(p.name);
   w.set_site(p.site);
   w.set_at(p.at);
@@ -141,7 +141,7 @@
     p->second.standing = coordination::DEAD;
     p->second.since = now;
     changed_.insert(p->first);
-    coordination::Word w = word_of(p->second);
+    coordination::MemberState w = word_of(p->second);
     w.set_by(self_.name);
     spread(w);
   }
@@ -243,7 +243,7 @@
   changed_.insert(peer.name);
   const double least = settings_.suspicion * log_size() * static_cast<double>(settings_.period);
   suspected_[peer.name] = {by, {by}, now + slowed(static_cast<Micros>(least * settings_.suspicion_most))};
-  coordination::Word w = word_of(peer);
+  coordination::MemberState w = word_of(peer);
   w.set_by(by);
   spread(w);
 }
@@ -267,7 +267,7 @@
     ++counters_.not_for_us;
     return;
   }
-  for (const coordination::Word& w : p.words()) take(now, w);
+  for (const coordination::MemberState& w : p.words()) take(now, w);
   if (p.from() == self_.name) {
     if (p.birth() > self_.birth && p.what_case() == coordination::Packet::kAck &&
         p.ack().number() == rival_.number) {
@@ -330,13 +330,13 @@
     spread(word_of(it->second));
 }
 
-bool Swim::sane(const coordination::Word& w) const {
+bool Swim::sane(const coordination::MemberState& w) const {
   return !w.name().empty() && w.name().size() <= kLongestName && w.site().size() <= kLongestName &&
          w.at().size() <= kLongestName && w.at().find(':') != std::string::npos && w.birth() < kLatestBirth &&
-         w.incarnation() < kMostIncarnation && coordination::Standing_IsValid(w.standing());
+         w.incarnation() < kMostIncarnation && coordination::MemberStatus_IsValid(w.standing());
 }
 
-void Swim::take(Micros now, const coordination::Word& word) {
+void Swim::take(Micros now, const coordination::MemberState& word) {
   if (!sane(word)) {
     ++counters_.absurd;
     return;
@@ -373,7 +373,7 @@
   set(now, peer, word);
 }
 
-void Swim::set(Micros now, Peer& peer, const coordination::Word& word) {
+void Swim::set(Micros now, Peer& peer, const coordination::MemberState& word) {
   const Peer before = peer;
   peer = {word.name(),        word.site(),     word.at(),    word.birth(),
           word.incarnation(), before.standing, before.since, word.version()};
@@ -390,7 +390,7 @@
 }
 
 // What others say of this router.
-void Swim::take_own(Micros now, const coordination::Word& word) {
+void Swim::take_own(Micros now, const coordination::MemberState& word) {
   if (word.birth() > self_.birth) {
     // Another life of our name. At our own address nobody else can live: it was our own, begun under a clock
     // that ran ahead. Elsewhere it is a process that began later, and the name is its.
@@ -429,7 +429,7 @@
   return p;
 }
 
-void Swim::spread(const coordination::Word& word) { rumors_[word.name()] = {word, 0}; }
+void Swim::spread(const coordination::MemberState& word) { rumors_[word.name()] = {word, 0}; }
 
 // The words passed on least go first; one on the receiver itself before all others, so that it can refute.
 void Swim::add_words(coordination::Packet& p, const std::string& about) {
@@ -477,7 +477,7 @@
       p = packet(name);
       p.mutable_sync();
     }
-    coordination::Word w = word_of(peer);
+    coordination::MemberState w = word_of(peer);
     // What only this router suspects is its own to settle.
     if (peer.standing == coordination::SUSPECT) {
       const auto known = suspected_.find(other);
@@ -491,7 +491,7 @@
 void Swim::leave(Micros) {
   if (left_ || displaced_) return;
   left_ = true;
-  coordination::Word w = word_of(self());
+  coordination::MemberState w = word_of(self());
   std::vector<const Peer*> to;
   for (const auto& [name, p] : peers_) {
     if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) to.push_back(&p);
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -21,7 +21,7 @@
 
 namespace flintglade::membership {
 
-using coordination::Standing;
+using coordination::MemberStatus;
 using core::Micros;
 
 inline constexpr std::uint32_t kVersion = 1;
@@ -49,13 +49,13 @@
 struct Peer {
   std::string name, site, at;
   std::uint64_t birth = 0, incarnation = 0;
-  Standing standing = coordination::ALIVE;
+  MemberStatus standing = coordination::ALIVE;
   Micros since = 0;  // of this standing
   std::uint32_t version = 0;
   bool operator==(const Peer&) const = default;
 };
 
-coordination::Word word_of(const Peer& p);  // what is said of it
+coordination::MemberState word_of(const Peer& p);  // what is said of it
 
 struct Datagram {
   std::string to, bytes;
@@ -100,7 +100,7 @@
     Micros ends = 0;  // of the suspicion
   };
   struct Rumor {
-    coordination::Word word;
+    coordination::MemberState word;
     int times = 0;
   };
   struct Probe {
@@ -123,12 +123,12 @@
   void send(const std::string& at, coordination::Packet&& p, const std::string& about = "");
   void add_words(coordination::Packet& p, const std::string& about);
   void send_all(const std::string& at, const std::string& name, bool answer);
-  void take(Micros now, const coordination::Word& word);
-  void take_own(Micros now, const coordination::Word& word);
-  bool sane(const coordination::Word& word) const;
-  void set(Micros now, Peer& peer, const coordination::Word& word);
+  void take(Micros now, const coordination::MemberState& word);
+  void take_own(Micros now, const coordination::MemberState& word);
+  bool sane(const coordination::MemberState& word) const;
+  void set(Micros now, Peer& peer, const coordination::MemberState& word);
   void suspect(Micros now, Peer& peer, const std::string& by);
-  void spread(const coordination::Word& word);
+  void spread(const coordination::MemberState& word);
   void probe(Micros now);
   void end_probe(Micros now, bool answered);
   void heard(const std::string& name, std::uint64_t birth);
--- a/src/shared/health_gossip.cpp
+++ b/src/shared/health_gossip.cpp
@@ -36,12 +36,12 @@
   if (known_.size() >= kMostKnown) known_.clear();
 }
 
-std::vector<coordination::Case> HealthObserver::cases(Micros now) const {
-  std::vector<coordination::Case> out;
+std::vector<coordination::ReplicaObservation> HealthObserver::cases(Micros now) const {
+  std::vector<coordination::ReplicaObservation> out;
   for (const auto& [replica, k] : known_) {
     const bool bad = k.failed >= kBadFrom;
     if (now - k.at > settings_.keep || (!bad && (!k.was_bad || k.failed > 0))) continue;
-    coordination::Case& c = out.emplace_back();
+    coordination::ReplicaObservation& c = out.emplace_back();
     c.set_replica(replica);
     c.set_bad(bad);
     c.set_count(bad ? k.failed : k.served);
@@ -60,16 +60,16 @@
 }
 
 std::vector<ReplicaHealthSummary> weigh(Micros now, const Settings& settings,
-                                        const VersionedTable<coordination::Seen>& heard,
+                                        const VersionedTable<coordination::HealthObservations>& heard,
                                         const std::string& but_not) {
-  std::map<std::string, const VersionedTable<coordination::Seen>::Held*>
+  std::map<std::string, const VersionedTable<coordination::HealthObservations>::Held*>
       last;  // by name: one router is one witness
   for (const auto& [life, h] : heard.all()) last[life.first] = &h;
   std::map<core::ReplicaId, ReplicaHealthSummary> out;
   std::map<core::ReplicaId, std::set<std::string>> sites;
   for (const auto& [name, h] : last) {
     if (name == but_not) continue;
-    for (const coordination::Case& c : h->entry.cases()) {
+    for (const coordination::ReplicaObservation& c : h->entry.cases()) {
       const Micros age = now - h->sealed + c.age_us();
       if (age < 0 || age >= settings.keep) continue;
       ReplicaHealthSummary& o =
--- a/src/shared/health_gossip.h
+++ b/src/shared/health_gossip.h
@@ -28,7 +28,7 @@
   void on_attempt_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome);
   void first_event(Micros now, core::ReplicaId replica);  // it serves
   // What to tell: replicas that fail now, and those that have lately begun to serve again.
-  std::vector<coordination::Case> cases(Micros now) const;
+  std::vector<coordination::ReplicaObservation> cases(Micros now) const;
   // True once after something to tell has changed.
   bool changed() { return std::exchange(changed_, false); }
   // When it last served us; kNever's opposite if never.
@@ -53,7 +53,7 @@
 };
 // All that was heard and still counts; of the words of one router, the last life's.
 std::vector<ReplicaHealthSummary> weigh(Micros now, const Settings& settings,
-                                        const VersionedTable<coordination::Seen>& heard,
+                                        const VersionedTable<coordination::HealthObservations>& heard,
                                         const std::string& but_not);
 
 class EjectionPolicy {
--- a/src/shared/quota_allocator.cpp
+++ b/src/shared/quota_allocator.cpp
@@ -50,8 +50,9 @@
   return -1.0;  // there is enough for all
 }
 
-std::optional<coordination::Parcel> QuotaAllocator::asked(Micros now, const std::string& who,
-                                                          std::uint64_t birth, const coordination::Ask& ask) {
+std::optional<coordination::QuotaLease> QuotaAllocator::asked(Micros now, const std::string& who,
+                                                              std::uint64_t birth,
+                                                              const coordination::QuotaRequest& ask) {
   ++counters_.asks;
   const auto it = std::find_if(accounts_.begin(), accounts_.end(),
                                [&](const Account& a) { return a.budget.name == ask.budget(); });
@@ -95,7 +96,7 @@
   const double spare = a.pool - static_cast<double>(a.budget.bank_pool()) / 2;
   if (even >= 0) most = std::min(most, std::max(h.due, spare));
   h.due_at = now;
-  coordination::Parcel p;
+  coordination::QuotaLease p;
   p.set_ask(ask.number());
   p.set_budget(ask.budget());
   p.set_bank(number_);
@@ -119,7 +120,7 @@
   return p;
 }
 
-bool QuotaAllocator::returned(Micros now, const std::string& who, const coordination::Return& back) {
+bool QuotaAllocator::returned(Micros now, const std::string& who, const coordination::QuotaReturn& back) {
   for (Account& a : accounts_) {
     if (a.budget.name != back.budget() || back.bank() != number_ || !open()) continue;
     // A part that nobody has spoken of for long counts as spent.
@@ -137,8 +138,8 @@
   return false;
 }
 
-std::vector<coordination::Draw> QuotaAllocator::draws(Micros now, Micros unix_time) {
-  std::vector<coordination::Draw> out;
+std::vector<coordination::StockDraw> QuotaAllocator::draws(Micros now, Micros unix_time) {
+  std::vector<coordination::StockDraw> out;
   if (!open()) return out;
   for (Account& a : accounts_) {
     if (!a.budget.stock()) continue;
@@ -167,7 +168,7 @@
       continue;
     }
     a.drawing_again = now + kDrawAgain;
-    coordination::Draw d;
+    coordination::StockDraw d;
     d.set_job(kQuotaAllocatorLease);
     d.set_number(number_);
     d.set_serial(a.drawing);
@@ -180,7 +181,7 @@
   return out;
 }
 
-void QuotaAllocator::record(const coordination::Table& table) {
+void QuotaAllocator::record(const coordination::LeaseTable& table) {
   for (Account& a : accounts_) {
     if (a.drawing == 0) continue;
     for (const coordination::Stock& s : table.stocks()) {
--- a/src/shared/quota_allocator.h
+++ b/src/shared/quota_allocator.h
@@ -33,14 +33,14 @@
 
   // Only while the lease is proved at this very moment. Asked again with the same number, it answers the
   // same. Nothing: no such budget, or no such amount.
-  std::optional<coordination::Parcel> asked(Micros now, const std::string& who, std::uint64_t birth,
-                                            const coordination::Ask& ask);
+  std::optional<coordination::QuotaLease> asked(Micros now, const std::string& who, std::uint64_t birth,
+                                                const coordination::QuotaRequest& ask);
   // What is left of a part that this bank has handed out: once, and never more than the part.
-  bool returned(Micros now, const std::string& who, const coordination::Return& back);
+  bool returned(Micros now, const std::string& who, const coordination::QuotaReturn& back);
   // What it wants of the record. unix_time: of the fleet, as far as can be told. Asked again until the record
   // shows it.
-  std::vector<coordination::Draw> draws(Micros now, Micros unix_time);
-  void record(const coordination::Table& table);
+  std::vector<coordination::StockDraw> draws(Micros now, Micros unix_time);
+  void record(const coordination::LeaseTable& table);
 
   struct Counters {
     std::uint64_t asks = 0, again = 0, parts = 0, dry = 0, returned = 0, unknown = 0, draws = 0;
@@ -51,7 +51,7 @@
  private:
   struct Holder {
     std::uint64_t birth = 0, ask = 0;
-    coordination::Parcel answer;
+    coordination::QuotaLease answer;
     double demand = 0;  // a second
     Micros heard = 0;
     double due = 0;  // while things are tight: what it may have by now
--- a/src/shared/quota_holder.cpp
+++ b/src/shared/quota_holder.cpp
@@ -41,7 +41,7 @@
 
 void QuotaHolder::back(const Budget& budget, const Part& part) {
   if (!budget.stock() || part.bank == 0 || part.amount <= 0 || returns_.size() >= kMostReturns) return;
-  coordination::Return r;
+  coordination::QuotaReturn r;
   r.set_budget(budget.name);
   r.set_bank(part.bank);
   r.set_serial(part.serial);
@@ -145,7 +145,7 @@
   return out;
 }
 
-void QuotaHolder::parcel(Micros now, const coordination::Parcel& p) {
+void QuotaHolder::parcel(Micros now, const coordination::QuotaLease& p) {
   for (Account& a : accounts_) {
     if (a.budget.name != p.budget()) continue;
     // Whatever the sender says: no more than the whole, for no longer than its time.
@@ -179,14 +179,14 @@
 }
 
 // Half of what is left beyond this router's own need, out of the part that runs longest.
-std::optional<coordination::Parcel> QuotaHolder::lend(Micros now, const std::string&,
-                                                      const coordination::Ask& ask) {
+std::optional<coordination::QuotaLease> QuotaHolder::lend(Micros now, const std::string&,
+                                                          const coordination::QuotaRequest& ask) {
   for (Account& a : accounts_) {
     if (a.budget.name != ask.budget() || ask.want() <= 0 || ask.want() > kMostAmount) continue;
     age(now, a);
     if (std::find(a.lent_for.begin(), a.lent_for.end(), ask.number()) != a.lent_for.end())
       return std::nullopt;
-    coordination::Parcel p;
+    coordination::QuotaLease p;
     p.set_ask(ask.number());
     p.set_budget(ask.budget());
     p.set_again_us(kComeBack);
@@ -208,7 +208,7 @@
   return std::nullopt;
 }
 
-std::vector<coordination::Return> QuotaHolder::returns() { return std::exchange(returns_, {}); }
+std::vector<coordination::QuotaReturn> QuotaHolder::returns() { return std::exchange(returns_, {}); }
 
 void QuotaHolder::give_back_all() {
   leaving_ = true;
--- a/src/shared/quota_holder.h
+++ b/src/shared/quota_holder.h
@@ -26,7 +26,7 @@
     Micros again = 0;  // refused: when to come back
   };
   struct Question {
-    coordination::Ask ask;
+    coordination::QuotaRequest ask;
     bool to_peer = false;  // the bank does not answer
   };
 
@@ -38,10 +38,12 @@
   Spent spend(Micros now, std::uint32_t team, Amount tokens);
 
   std::vector<Question> questions(Micros now);  // to be sent now
-  std::vector<coordination::Return> returns();  // likewise: parts of stocks that are over, or came too late
-  void parcel(Micros now, const coordination::Parcel& p);
+  std::vector<coordination::QuotaReturn>
+  returns();  // likewise: parts of stocks that are over, or came too late
+  void parcel(Micros now, const coordination::QuotaLease& p);
   // For another router, out of what this one does not need for now.
-  std::optional<coordination::Parcel> lend(Micros now, const std::string& who, const coordination::Ask& ask);
+  std::optional<coordination::QuotaLease> lend(Micros now, const std::string& who,
+                                               const coordination::QuotaRequest& ask);
   void give_back_all();  // at the end of this router
 
   Micros next(Micros now) const;  // when to look for questions and returns again
@@ -66,7 +68,7 @@
     double demand = 0;  // asked of this router, a second, forgotten over a second
     Micros demand_at = 0, asked_for = 0;
     std::uint64_t asking = 0;  // the number of the ask that is out; 0: none
-    coordination::Ask ask;
+    coordination::QuotaRequest ask;
     Micros ask_first = 0, ask_sent = 0, not_before = 0;
     bool to_peer = false;
     int unanswered = 0;
@@ -84,7 +86,7 @@
 
   std::vector<Account> accounts_;
   std::vector<std::vector<std::size_t>> of_team_;
-  std::vector<coordination::Return> returns_;
+  std::vector<coordination::QuotaReturn> returns_;
   std::uint64_t numbers_;
   bool leaving_ = false;
 };
--- a/src/shared/replicated_counter.cpp
+++ b/src/shared/replicated_counter.cpp
@@ -9,18 +9,18 @@
     5 * core::kSecond;  // a row that has not changed is sealed anew, so that it ages no more
 
 // Whether this row of a later life has taken in that one, as far as some version of it.
-const coordination::Mark* folded(const coordination::Row& later, std::uint64_t birth) {
-  for (const coordination::Mark& m : later.folded()) {
+const coordination::VersionMark* folded(const coordination::CounterRow& later, std::uint64_t birth) {
+  for (const coordination::VersionMark& m : later.folded()) {
     if (m.birth() == birth) return &m;
   }
   return nullptr;
 }
-bool took_in(const coordination::Row& later, std::uint64_t birth) {
+bool took_in(const coordination::CounterRow& later, std::uint64_t birth) {
   return folded(later, birth) != nullptr || (later.folded_size() > 0 && birth < later.folded(0).birth());
 }
 }  // namespace
 
-void add(coordination::Count& to, const coordination::Count& more) {
+void add(coordination::RequestCounts& to, const coordination::RequestCounts& more) {
   to.set_served(to.served() + more.served());
   to.set_refused(to.refused() + more.refused());
   to.set_failed(to.failed() + more.failed());
@@ -33,7 +33,7 @@
     : settings_(settings), self_(std::move(name), birth), site_(std::move(site)), rows_(settings.most_rows) {}
 
 bool ReplicatedCounter::seal(Micros now, const Counts& counts) {
-  const auto same = [](const coordination::Count& a, const coordination::Count& b) {
+  const auto same = [](const coordination::RequestCounts& a, const coordination::RequestCounts& b) {
     return a.served() == b.served() && a.refused() == b.refused() && a.failed() == b.failed() &&
            a.tokens() == b.tokens() && a.worth() == b.worth();
   };
@@ -47,13 +47,13 @@
   own_ = counts;
   dirty_ = false;
   Counts sum = counts;
-  coordination::Row row;
+  coordination::CounterRow row;
   for (const auto& [birth, earlier] : earlier_) {
-    for (const coordination::Count& c : earlier.counts()) {
-      coordination::Count& to = sum[{c.team(), c.klass()}];
+    for (const coordination::RequestCounts& c : earlier.counts()) {
+      coordination::RequestCounts& to = sum[{c.team(), c.klass()}];
       add(to, c);
     }
-    coordination::Mark& mark = *row.add_folded();
+    coordination::VersionMark& mark = *row.add_folded();
     mark.set_name(self_.first);
     mark.set_birth(birth);
     mark.set_version(earlier.version());
@@ -63,13 +63,13 @@
   row.set_site(site_);
   row.set_version(rows_.version(self_) + 1);
   // Beyond the bound all others count as one.
-  coordination::Count rest;
+  coordination::RequestCounts rest;
   for (const auto& [key, count] : sum) {
     if (static_cast<std::size_t>(row.counts_size()) + 1 >= settings_.most_counts) {
       add(rest, count);
       continue;
     }
-    coordination::Count& c = *row.add_counts();
+    coordination::RequestCounts& c = *row.add_counts();
     c = count;
     c.set_team(key.first);
     c.set_klass(key.second);
@@ -79,25 +79,25 @@
   return true;
 }
 
-bool ReplicatedCounter::sane(const coordination::Row& row) const {
+bool ReplicatedCounter::sane(const coordination::CounterRow& row) const {
   if (row.name().empty() || row.name().size() > kMostName || row.site().size() > kMostName ||
       row.version() == 0 || row.version() > kMostCount || row.birth() == 0 || row.age_us() < 0 ||
       static_cast<std::size_t>(row.counts_size()) > settings_.most_counts ||
       static_cast<std::size_t>(row.folded_size()) > kMostEarlier)
     return false;
-  for (const coordination::Count& c : row.counts()) {
+  for (const coordination::RequestCounts& c : row.counts()) {
     if (c.team().size() > kMostName || c.klass().size() > kMostName) return false;
     for (const std::uint64_t n : {c.served(), c.refused(), c.failed(), c.tokens(), c.worth()}) {
       if (n > kMostCount) return false;
     }
   }
-  for (const coordination::Mark& m : row.folded()) {
+  for (const coordination::VersionMark& m : row.folded()) {
     if (m.name() != row.name() || m.birth() >= row.birth()) return false;
   }
   return true;
 }
 
-std::string ReplicatedCounter::take(Micros now, coordination::Row row, Micros late, int passes) {
+std::string ReplicatedCounter::take(Micros now, coordination::CounterRow row, Micros late, int passes) {
   if (!sane(row)) return "numbers that cannot be";
   const Life life{row.name(), row.birth()};
   if (life == self_)
@@ -106,7 +106,7 @@
   // A row that a later life has taken in is not to come back.
   for (const auto& [held, h] : rows_.all()) {
     if (held.first != life.first || held.second <= life.second) continue;
-    const coordination::Mark* mark = folded(h.entry, life.second);
+    const coordination::VersionMark* mark = folded(h.entry, life.second);
     if (mark != nullptr ? mark->version() >= row.version() : took_in(h.entry, life.second)) return "";
   }
   if (life.first == self_.first) {
@@ -114,9 +114,9 @@
     take_in(std::move(row));
     return "";
   }
-  const coordination::Row copy = row;
+  const coordination::CounterRow copy = row;
   if (!rows_.take(now, std::move(row), late, passes)) return "";
-  for (const coordination::Mark& m : copy.folded()) {
+  for (const coordination::VersionMark& m : copy.folded()) {
     const Life before{m.name(), m.birth()};
     ended(now, before);
     if (rows_.version(before) <= m.version()) rows_.erase(before);
@@ -125,7 +125,7 @@
 }
 
 // Into our own row. What an earlier life had taken in stands in its row already.
-void ReplicatedCounter::take_in(coordination::Row row) {
+void ReplicatedCounter::take_in(coordination::CounterRow row) {
   const std::uint64_t birth = row.birth();
   for (const auto& [other, e] : earlier_) {
     if (other > birth && took_in(e, birth)) return;
@@ -151,7 +151,7 @@
     const Micros age = std::max<Micros>(0, (over == ended_.end() ? now : over->second) - h.sealed);
     const Micros unknown = age + settings_.most_delay + kUnsealed;
     const auto most = static_cast<std::uint64_t>(settings_.most_per_s * static_cast<double>(unknown) / 1e6);
-    for (const coordination::Count& c : h.entry.counts()) {
+    for (const coordination::RequestCounts& c : h.entry.counts()) {
       Total& t = out[{c.team(), c.klass(), h.entry.site()}];
       if (!counted) add(t.count, c);
       t.most_served += c.served() + most;
--- a/src/shared/replicated_counter.h
+++ b/src/shared/replicated_counter.h
@@ -72,43 +72,44 @@
 
 class ReplicatedCounter {
  public:
-  using Counts = std::map<std::pair<std::string, std::string>, coordination::Count>;  // by team and class
+  using Counts =
+      std::map<std::pair<std::string, std::string>, coordination::RequestCounts>;  // by team and class
 
   ReplicatedCounter(const Settings& settings, std::string name, std::uint64_t birth, std::string site);
 
   // What this life has counted until now. True: a new version was sealed.
   bool seal(Micros now, const Counts& counts);
   // A row that was heard or read back. Empty: taken, or known already; else what is wrong with it.
-  std::string take(Micros now, coordination::Row row, Micros late, int passes);
+  std::string take(Micros now, coordination::CounterRow row, Micros late, int passes);
   // That life is surely over by now: nothing of it is still to come, but what it never told.
   void ended(Micros now, const Life& life);
 
   struct Total {
-    coordination::Count count;  // team and class empty: any
+    coordination::RequestCounts count;  // team and class empty: any
     std::uint64_t most_served = 0;
     Micros oldest = 0;  // age of the oldest row in it
   };
   // By team, class and site.
   std::map<std::tuple<std::string, std::string, std::string>, Total> totals(Micros now) const;
 
-  VersionedTable<coordination::Row>& rows() { return rows_; }
-  const VersionedTable<coordination::Row>& rows() const { return rows_; }
+  VersionedTable<coordination::CounterRow>& rows() { return rows_; }
+  const VersionedTable<coordination::CounterRow>& rows() const { return rows_; }
   const Life& self() const { return self_; }
 
  private:
-  bool sane(const coordination::Row& row) const;
-  void take_in(coordination::Row row);
+  bool sane(const coordination::CounterRow& row) const;
+  void take_in(coordination::CounterRow row);
 
   Settings settings_;
   Life self_;
   std::string site_;
-  VersionedTable<coordination::Row> rows_;
-  std::map<std::uint64_t, coordination::Row> earlier_;  // lives of our name that are folded in
+  VersionedTable<coordination::CounterRow> rows_;
+  std::map<std::uint64_t, coordination::CounterRow> earlier_;  // lives of our name that are folded in
   std::map<Life, Micros> ended_;
   Counts own_;
   bool dirty_ = true;
 };
 
-void add(coordination::Count& to, const coordination::Count& more);
+void add(coordination::RequestCounts& to, const coordination::RequestCounts& more);
 
 }  // namespace flintglade::shared
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -34,13 +34,13 @@
 
 // ---- what this router has to say
 
-void SharedState::ask(Micros now, coordination::CoordinationProtocol& agent, const coordination::Ask& ask,
-                      bool to_peer) {
+void SharedState::ask(Micros now, coordination::CoordinationProtocol& agent,
+                      const coordination::QuotaRequest& ask, bool to_peer) {
   if (!to_peer && is_bank(now, agent)) {
     if (const auto p = quota_allocator_.asked(now, self_.first, self_.second, ask)) ports_.parcel(*p);
     return;
   }
-  coordination::Share s;
+  coordination::SharedStateMessage s;
   *s.mutable_ask() = ask;
   const membership::Peer* bank = agent.owner(kQuotaAllocatorLease);
   if (!to_peer && bank != nullptr) return share(now, agent, bank->name, std::move(s));
@@ -52,14 +52,14 @@
 }
 
 void SharedState::lent(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
-                       const coordination::Parcel& parcel) {
-  coordination::Share s;
+                       const coordination::QuotaLease& parcel) {
+  coordination::SharedStateMessage s;
   *s.mutable_parcel() = parcel;
   share(now, agent, to, std::move(s));
 }
 
 void SharedState::give_back(Micros now, coordination::CoordinationProtocol& agent,
-                            const coordination::Return& back) {
+                            const coordination::QuotaReturn& back) {
   if (quota_allocator_.open() && quota_allocator_.number() == back.bank()) {
     quota_allocator_.returned(now, self_.first, back);
     return;
@@ -67,7 +67,7 @@
   // To the bank that handed it out, and to no other: it could be handed out twice.
   for (const coordination::Job& j : agent.table().jobs()) {
     if (j.name() != kQuotaAllocatorLease || j.number() != back.bank() || j.owner().empty()) continue;
-    coordination::Share s;
+    coordination::SharedStateMessage s;
     *s.mutable_back() = back;
     share(now, agent, j.owner(), std::move(s));
   }
@@ -77,26 +77,27 @@
   if (settings_.counts && counter_.seal(now, counts)) counter_.rows().all()[self_].passes = 4;
 }
 
-void SharedState::saw(Micros now, std::vector<coordination::Case> cases) {
-  coordination::Seen seen;
+void SharedState::saw(Micros now, std::vector<coordination::ReplicaObservation> cases) {
+  coordination::HealthObservations seen;
   seen.set_name(self_.first);
   seen.set_birth(self_.second);
   seen.set_site(site_);
   seen.set_version(std::max(seen_.version(self_), own_seen_) + 1);
-  for (coordination::Case& c : cases) *seen.add_cases() = std::move(c);
+  for (coordination::ReplicaObservation& c : cases) *seen.add_cases() = std::move(c);
   seen_.take(now, std::move(seen), 0, 5);
   next_gossip_ = now;
 }
 
 // ---- what comes
 
-bool SharedState::sane(const coordination::Seen& seen) const {
+bool SharedState::sane(const coordination::HealthObservations& seen) const {
   if (seen.name().empty() || seen.name().size() > kMostName || seen.site().size() > kMostName ||
       seen.version() == 0 || seen.version() > kMostVersion || seen.birth() == 0 || seen.age_us() < 0 ||
       seen.age_us() > kMostAge || static_cast<std::size_t>(seen.cases_size()) > settings_.most_cases)
     return false;
-  return std::all_of(seen.cases().begin(), seen.cases().end(),
-                     [](const coordination::Case& c) { return c.age_us() >= 0 && c.age_us() <= kMostAge; });
+  return std::all_of(seen.cases().begin(), seen.cases().end(), [](const coordination::ReplicaObservation& c) {
+    return c.age_us() >= 0 && c.age_us() <= kMostAge;
+  });
 }
 
 void SharedState::absurd(coordination::CoordinationProtocol& agent, const std::string& from,
@@ -137,7 +138,7 @@
   }
   if (word.what != What::share) return;
   ++counters_.received;
-  const coordination::Share& s = word.share;
+  const coordination::SharedStateMessage& s = word.share;
   if (word.who.empty() || word.who.size() > kMostName || word.who == self_.first || word.birth == 0) {
     return absurd(agent, word.from, "no name");
   }
@@ -146,19 +147,19 @@
   clock.unix_apart = s.unix_us() - ports_.unix_time();
   clock.heard = now;
   switch (s.what_case()) {
-    case coordination::Share::kAsk:
+    case coordination::SharedStateMessage::kAsk:
       answer(now, agent, word.from, word.who, word.birth, s.ask());
       break;
-    case coordination::Share::kParcel:
+    case coordination::SharedStateMessage::kParcel:
       ports_.parcel(s.parcel());
       break;
-    case coordination::Share::kBack:
+    case coordination::SharedStateMessage::kBack:
       quota_allocator_.returned(now, word.who, s.back());
       break;
-    case coordination::Share::kNews:
+    case coordination::SharedStateMessage::kNews:
       take(now, agent, s.news(), longer, word.who);
       break;
-    case coordination::Share::kDigest:
+    case coordination::SharedStateMessage::kDigest:
       take(now, agent, s.digest(), word.who);
       break;
     default:
@@ -167,26 +168,26 @@
 }
 
 void SharedState::answer(Micros now, coordination::CoordinationProtocol& agent, const std::string&,
-                         const std::string& who, std::uint64_t birth, const coordination::Ask& ask) {
+                         const std::string& who, std::uint64_t birth, const coordination::QuotaRequest& ask) {
   if (ask.want() < 0 || ask.want() > kMostAmount || ask.demand() < 0 || ask.demand() > kMostAmount)
     return absurd(agent, who, "an amount that cannot be");
   if (!is_bank(now, agent)) return ports_.lend(who, ask);
   const auto parcel = quota_allocator_.asked(now, who, birth, ask);
   if (!parcel) return;
-  coordination::Share s;
+  coordination::SharedStateMessage s;
   *s.mutable_parcel() = *parcel;
   share(now, agent, who, std::move(s));
 }
 
-void SharedState::take(Micros now, coordination::CoordinationProtocol& agent, const coordination::News& news,
-                       Micros longer, const std::string& from) {
+void SharedState::take(Micros now, coordination::CoordinationProtocol& agent,
+                       const coordination::SharedStateUpdate& news, Micros longer, const std::string& from) {
   std::string wrong;
-  for (const coordination::Row& row : news.rows()) {
+  for (const coordination::CounterRow& row : news.rows()) {
     const std::string why = counter_.take(now, row, longer, passes(agent));
     if (!why.empty()) wrong = "row of " + row.name().substr(0, kMostName) + ": " + why;
   }
   bool heard = false;
-  for (const coordination::Seen& seen : news.seen()) {
+  for (const coordination::HealthObservations& seen : news.seen()) {
     if (!sane(seen)) {
       wrong = "words of " + seen.name().substr(0, kMostName) + ": numbers that cannot be";
     } else if (seen.name() != self_.first) {
@@ -204,19 +205,19 @@
 void SharedState::take(Micros now, coordination::CoordinationProtocol& agent,
                        const coordination::Digest& digest, const std::string& who) {
   std::map<Life, std::uint64_t> marks;
-  for (const coordination::Mark& m : digest.marks()) {
+  for (const coordination::VersionMark& m : digest.marks()) {
     if (marks.size() < 2 * kMarks) marks[{m.name(), m.birth()}] = m.version();
   }
   coordination::Digest back;
   back.set_from(digest.from());
   back.set_to(digest.to());
   bool lacks = false;
-  std::vector<coordination::Share> out(1);
+  std::vector<coordination::SharedStateMessage> out(1);
   std::size_t bytes = 0;
   for (const auto& [life, h] : counter_.rows().all()) {
     if (life.first < digest.from() || (!digest.to().empty() && life.first >= digest.to())) continue;
     if (back.marks_size() < static_cast<int>(2 * kMarks)) {
-      coordination::Mark& mark = *back.add_marks();
+      coordination::VersionMark& mark = *back.add_marks();
       mark.set_name(life.first);
       mark.set_birth(life.second);
       mark.set_version(h.entry.version());
@@ -233,14 +234,14 @@
       bytes = 0;
     }
     bytes += size;
-    *out.back().mutable_news()->add_rows() = VersionedTable<coordination::Row>::aged(now, h);
+    *out.back().mutable_news()->add_rows() = VersionedTable<coordination::CounterRow>::aged(now, h);
   }
   for (const auto& [life, version] : marks) lacks = lacks || counter_.rows().version(life) < version;
-  for (coordination::Share& s : out) {
+  for (coordination::SharedStateMessage& s : out) {
     if (s.has_news()) share(now, agent, who, std::move(s));
   }
   if (!lacks || !digest.answer()) return;
-  coordination::Share s;
+  coordination::SharedStateMessage s;
   *s.mutable_digest() = back;
   share(now, agent, who, std::move(s));
 }
@@ -261,7 +262,7 @@
 }
 
 void SharedState::share(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
-                        coordination::Share share) {
+                        coordination::SharedStateMessage share) {
   const auto it = agent.peers().others().find(to);
   if (it == agent.peers().others().end()) return;
   share.set_sent_us(now);
@@ -273,7 +274,7 @@
 
 void SharedState::gossip(Micros now, coordination::CoordinationProtocol& agent) {
   const auto others = living(agent);
-  coordination::Share s;
+  coordination::SharedStateMessage s;
   std::size_t bytes = 0;
   const auto add = [&](auto& heard, auto adder) {
     for (auto& [life, h] : heard.all()) {
@@ -285,10 +286,10 @@
     }
   };
   add(seen_, [&](const auto& h) {
-    *s.mutable_news()->add_seen() = VersionedTable<coordination::Seen>::aged(now, h);
+    *s.mutable_news()->add_seen() = VersionedTable<coordination::HealthObservations>::aged(now, h);
   });
   add(counter_.rows(), [&](const auto& h) {
-    *s.mutable_news()->add_rows() = VersionedTable<coordination::Row>::aged(now, h);
+    *s.mutable_news()->add_rows() = VersionedTable<coordination::CounterRow>::aged(now, h);
   });
   if (!s.has_news() || others.empty()) return;
   std::vector<const membership::Peer*> to;
@@ -299,7 +300,7 @@
 void SharedState::compare(Micros now, coordination::CoordinationProtocol& agent) {
   const auto others = living(agent);
   if (others.empty()) return;
-  coordination::Share s;
+  coordination::SharedStateMessage s;
   coordination::Digest& d = *s.mutable_digest();
   d.set_from(compared_);
   d.set_answer(true);
@@ -310,7 +311,7 @@
       compared_ = life.first;
       break;
     }
-    coordination::Mark& mark = *d.add_marks();
+    coordination::VersionMark& mark = *d.add_marks();
     mark.set_name(life.first);
     mark.set_birth(life.second);
     mark.set_version(h.entry.version());
@@ -350,7 +351,8 @@
     next_bank_ = quota_allocator_.open() ? now + kBankTick : core::kNever;
     quota_allocator_.record(agent.table());
     if (is_bank(now, agent)) {
-      for (const coordination::Draw& d : quota_allocator_.draws(now, fleet_time(now))) agent.draw(now, d);
+      for (const coordination::StockDraw& d : quota_allocator_.draws(now, fleet_time(now)))
+        agent.draw(now, d);
     }
   }
 }
@@ -362,9 +364,9 @@
 // ---- what lasts
 
 std::string SharedState::snapshot(Micros now) const {
-  coordination::News news;
+  coordination::SharedStateUpdate news;
   for (const auto& [life, h] : counter_.rows().all())
-    *news.add_rows() = VersionedTable<coordination::Row>::aged(now, h);
+    *news.add_rows() = VersionedTable<coordination::CounterRow>::aged(now, h);
   const std::string body = news.SerializeAsString();
   std::string out = kMagic;
   for (const std::uint32_t n : {kSnapshotVersion, static_cast<std::uint32_t>(body.size()), checksum(body)}) {
@@ -385,10 +387,10 @@
   if (number(4) != kSnapshotVersion) return "it is of version " + std::to_string(number(4));
   const std::string_view body = bytes.substr(16);
   if (body.size() != number(8) || checksum(body) != number(12)) return "it is torn";
-  coordination::News news;
+  coordination::SharedStateUpdate news;
   if (!news.ParseFromArray(body.data(), static_cast<int>(body.size()))) return "it cannot be read";
   // How old it is nobody knows: as old as a row can be.
-  for (const coordination::Row& row : news.rows()) counter_.take(now, row, kMostAge, 2);
+  for (const coordination::CounterRow& row : news.rows()) counter_.take(now, row, kMostAge, 2);
   return "";
 }
 
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -22,8 +22,9 @@
 class SharedState final : public coordination::Companion {
  public:
   struct Ports {
-    std::function<void(const coordination::Parcel&)> parcel;                      // for this router's wallet
-    std::function<void(const std::string& from, const coordination::Ask&)> lend;  // another router asks ours
+    std::function<void(const coordination::QuotaLease&)> parcel;  // for this router's wallet
+    std::function<void(const std::string& from, const coordination::QuotaRequest&)>
+        lend;  // another router asks ours
     // What has been heard of replicas, and of how many routers and sites.
     std::function<void(std::vector<ReplicaHealthSummary>, std::size_t routers, std::size_t sites)> opinions;
     std::function<Micros()> unix_time;
@@ -31,12 +32,14 @@
   SharedState(Settings settings, Ports ports, const membership::Self& self, std::uint64_t seed);
 
   // ---- from this router's core
-  void ask(Micros now, coordination::CoordinationProtocol& agent, const coordination::Ask& ask, bool to_peer);
+  void ask(Micros now, coordination::CoordinationProtocol& agent, const coordination::QuotaRequest& ask,
+           bool to_peer);
   void lent(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
-            const coordination::Parcel& parcel);
-  void give_back(Micros now, coordination::CoordinationProtocol& agent, const coordination::Return& back);
+            const coordination::QuotaLease& parcel);
+  void give_back(Micros now, coordination::CoordinationProtocol& agent,
+                 const coordination::QuotaReturn& back);
   void counted(Micros now, const ReplicatedCounter::Counts& counts);
-  void saw(Micros now, std::vector<coordination::Case> cases);
+  void saw(Micros now, std::vector<coordination::ReplicaObservation> cases);
   // For whoever asks: the wallet, and the replicas that hearsay has this router avoid now.
   void core_says(coordination::SharedStatus wallet, std::set<core::ReplicaId> avoided) {
     quota_holder_ = std::move(wallet);
@@ -55,23 +58,23 @@
               coordination::Status& out) const override;
 
   const ReplicatedCounter& ledger() const { return counter_; }
-  const VersionedTable<coordination::Seen>& seen() const { return seen_; }
+  const VersionedTable<coordination::HealthObservations>& seen() const { return seen_; }
   const QuotaAllocator& bank() const { return quota_allocator_; }
 
  private:
   void share(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
-             coordination::Share share);
+             coordination::SharedStateMessage share);
   void answer(Micros now, coordination::CoordinationProtocol& agent, const std::string& at,
-              const std::string& who, std::uint64_t birth, const coordination::Ask& ask);
-  void take(Micros now, coordination::CoordinationProtocol& agent, const coordination::News& news,
-            Micros late, const std::string& from);
+              const std::string& who, std::uint64_t birth, const coordination::QuotaRequest& ask);
+  void take(Micros now, coordination::CoordinationProtocol& agent,
+            const coordination::SharedStateUpdate& news, Micros late, const std::string& from);
   void take(Micros now, coordination::CoordinationProtocol& agent, const coordination::Digest& digest,
             const std::string& at);
   void gossip(Micros now, coordination::CoordinationProtocol& agent);
   void compare(Micros now, coordination::CoordinationProtocol& agent);
   Micros late(Micros now, const std::string& who, std::uint64_t birth, Micros sent);
   std::vector<const membership::Peer*> living(const coordination::CoordinationProtocol& agent) const;
-  bool sane(const coordination::Seen& seen) const;
+  bool sane(const coordination::HealthObservations& seen) const;
   void absurd(coordination::CoordinationProtocol& agent, const std::string& from, const std::string& what);
   int passes(const coordination::CoordinationProtocol& agent) const;
   void tell_opinions(Micros now, const coordination::CoordinationProtocol& agent);
@@ -86,7 +89,7 @@
   std::mt19937_64 random_;
   QuotaAllocator quota_allocator_;
   ReplicatedCounter counter_;
-  VersionedTable<coordination::Seen> seen_;
+  VersionedTable<coordination::HealthObservations> seen_;
   std::uint64_t own_seen_ = 0;  // the highest version that was heard in our name
   struct Clock {
     std::uint64_t birth = 0;
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -307,7 +307,7 @@
   };
   // Words of n5 about all replicas, loud and from the future; and amounts that cannot be.
   const auto speak = [&](std::size_t as, std::size_t to,
-                         const std::function<void(flintglade::coordination::Share&)>& say) {
+                         const std::function<void(flintglade::coordination::SharedStateMessage&)>& say) {
     Packet p;
     p.set_fleet("test");
     p.set_version(1);
@@ -318,7 +318,7 @@
     fleet.forge(to, p);
   };
   const auto all_bad = [&](std::size_t as, int age) {
-    return [&fleet, as, age](flintglade::coordination::Share& s) {
+    return [&fleet, as, age](flintglade::coordination::SharedStateMessage& s) {
       auto& seen = *s.mutable_news()->add_seen();
       seen.set_name(Fleet::id(as));
       seen.set_birth(fleet.status(as).birth());
@@ -342,12 +342,13 @@
   for (std::size_t i = 0; i < 8; ++i) CHECK(avoided(i) == 0);
   const std::size_t to = 6;
   speak(5, to, all_bad(5, -5));
-  speak(5, to, [](flintglade::coordination::Share& s) { s.mutable_ask()->set_want(-1); });
-  speak(5, to, [](flintglade::coordination::Share& s) {
+  speak(5, to, [](flintglade::coordination::SharedStateMessage& s) { s.mutable_ask()->set_want(-1); });
+  speak(5, to, [](flintglade::coordination::SharedStateMessage& s) {
     s.mutable_ask()->set_want(INT64_MAX);
     s.mutable_ask()->set_budget("of nobody");
   });
-  speak(5, to, [](flintglade::coordination::Share& s) { s.mutable_parcel()->set_amount(INT64_MAX); });
+  speak(5, to,
+        [](flintglade::coordination::SharedStateMessage& s) { s.mutable_parcel()->set_amount(INT64_MAX); });
   CHECK(within(3000, [&] { return fleet.status(to).shared().counters().at("absurd") >= 3; }));
   CHECK(fleet.log(to).find("event=share_refused from=n5") != std::string::npos);
   pause(3000);  // no word outlives its time
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -102,7 +102,7 @@
              s.leader_at() + (s.displaced() ? " displaced" : "") + s.why_halted();
       for (const coordination::Job& j : s.table().jobs())
         out += " " + j.name() + "=" + std::to_string(j.number()) + ":" + j.owner() + ":" + j.wanted();
-      for (const coordination::Held& h : s.held()) out += " holds " + h.job();
+      for (const coordination::HeldLease& h : s.held()) out += " holds " + h.job();
     }
     return out;
   }
@@ -356,10 +356,10 @@
     set.most_per_s = 4 * world_.asked;
     shared::SharedState::Ports ports;
     ports.unix_time = [this, i] { return unix_time(boxes_[i]); };
-    ports.parcel = [this, i](const coordination::Parcel& p) {
+    ports.parcel = [this, i](const coordination::QuotaLease& p) {
       boxes_[i].wallet->parcel(boxes_[i].local(now_), p);
     };
-    ports.lend = [this, i](const std::string& who, const coordination::Ask& ask) {
+    ports.lend = [this, i](const std::string& who, const coordination::QuotaRequest& ask) {
       Box& own = boxes_[i];
       if (const auto p = own.wallet->lend(own.local(now_), who, ask))
         own.shared_state->lent(own.local(now_), *own.agent, who, *p);
@@ -397,7 +397,7 @@
         b.next_ask = now_ + 50 * core::kMilli;
         for (const auto& q : b.wallet->questions(local))
           b.shared_state->ask(local, *b.agent, q.ask, q.to_peer);
-        for (const coordination::Return& r : b.wallet->returns())
+        for (const coordination::QuotaReturn& r : b.wallet->returns())
           b.shared_state->give_back(local, *b.agent, r);
       }
       if (now_ >= b.next_count) {
@@ -412,7 +412,7 @@
 
   void serve(Box& b, std::uint32_t team, Micros local) {
     seen_.wanted += team == 0;
-    coordination::Count& c = b.counts[{team == 0 ? "q" : "s", "chat"}];
+    coordination::RequestCounts& c = b.counts[{team == 0 ? "q" : "s", "chat"}];
     if (b.wallet->spend(local, team, 0).verdict != shared::QuotaHolder::Verdict::within) {
       c.set_refused(c.refused() + 1);
       return;
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -128,7 +128,7 @@
   };
   const auto word = [](coordination::Packet& p, const std::string& name, std::uint64_t birth,
                        std::uint64_t incarnation, const std::string& at) {
-    coordination::Word* w = p.add_words();
+    coordination::MemberState* w = p.add_words();
     w->set_name(name);
     w->set_birth(birth);
     w->set_incarnation(incarnation);
@@ -167,7 +167,7 @@
     p.set_fleet("f");
     p.set_from("b");
     p.mutable_sync();
-    coordination::Word* w = p.add_words();
+    coordination::MemberState* w = p.add_words();
     w->set_name("a");
     w->set_at("10.0.0.2:1");
     w->set_birth(2000);
@@ -243,7 +243,7 @@
 void a_release_that_is_on_its_way_is_never_taken_back() {
   coordination::LeaseTimes times;
   coordination::LeaseHolder lease_holder(times, "a");
-  coordination::Table table;
+  coordination::LeaseTable table;
   coordination::Job* job = table.add_jobs();
   job->set_name("j");
   job->set_owner("a");
@@ -252,7 +252,7 @@
   lease_holder.record(table, 1);
   const auto renew = lease_holder.renewal(0);
   CHECK(renew && renew->held_size() == 1);
-  std::vector<coordination::Held> held(renew->held().begin(), renew->held().end());
+  std::vector<coordination::HeldLease> held(renew->held().begin(), renew->held().end());
   lease_holder.renewed(0, held);
   CHECK(lease_holder.proved(times.lease - times.margin() - 1, "j") &&
         !lease_holder.proved(times.lease - times.margin(), "j"));
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -34,8 +34,10 @@
   shared::QuotaHolder wallet(sharing.budgets, {"t"}, 1000, 0);
   shared::SharedState::Ports ports;
   ports.unix_time = [] { return core::Micros{1'700'000'000'000'000}; };
-  ports.parcel = [&](const coordination::Parcel& part) { wallet.parcel(1000, part); };
-  ports.lend = [&](const std::string& who, const coordination::Ask& ask) { wallet.lend(1000, who, ask); };
+  ports.parcel = [&](const coordination::QuotaLease& part) { wallet.parcel(1000, part); };
+  ports.lend = [&](const std::string& who, const coordination::QuotaRequest& ask) {
+    wallet.lend(1000, who, ask);
+  };
   ports.opinions = [](std::vector<shared::ReplicaHealthSummary>, std::size_t, std::size_t) {};
   shared::SharedState shared_state(sharing, ports, set.self, 1);
   shared_state.restore(0, bytes);
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -414,12 +414,12 @@
 
   void tell(std::uint64_t router) {
     hash_.add_integer(routers_[router].changed());
-    coordination::Seen seen;
+    coordination::HealthObservations seen;
     seen.set_name("r" + std::to_string(router));
     seen.set_birth(1);
     seen.set_site(router % 2 == 0 ? "north" : "south");
     seen.set_version(++version_);
-    for (const coordination::Case& word : routers_[router].cases(now_)) {
+    for (const coordination::ReplicaObservation& word : routers_[router].cases(now_)) {
       *seen.add_cases() = word;
       hash_.add_text(word.SerializeAsString());
     }
@@ -444,7 +444,7 @@
   EventRandom random_;
   shared::Settings settings_ = settings();
   std::vector<shared::HealthObserver> routers_;
-  shared::VersionedTable<coordination::Seen> heard_{kRouters};
+  shared::VersionedTable<coordination::HealthObservations> heard_{kRouters};
   std::set<core::ReplicaId> ready_;
   core::Micros now_ = 100 * core::kSecond;
   std::uint64_t version_ = 0;
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -206,7 +206,7 @@
   settings.self = {"r2", "north", "10.0.0.2:7000", 2000};
   coordination::CoordinationProtocol agent(settings, 1);
   ASSERT_EQ(agent.vote(std::move(memory), disk), "");
-  const coordination::Table& table = agent.table();
+  const coordination::LeaseTable& table = agent.table();
   EXPECT_EQ(table.last_number(), 2u);
   ASSERT_EQ(table.jobs_size(), 2);
   EXPECT_EQ(table.jobs(0).name(), "bank");
@@ -232,8 +232,8 @@
 
 // ---- the counts that a router keeps
 
-void expect_count(const coordination::Count& count, const std::string& team, const std::string& request_class,
-                  const std::vector<std::uint64_t>& numbers) {
+void expect_count(const coordination::RequestCounts& count, const std::string& team,
+                  const std::string& request_class, const std::vector<std::uint64_t>& numbers) {
   EXPECT_EQ(count.team(), team);
   EXPECT_EQ(count.klass(), request_class);
   EXPECT_EQ((std::vector<std::uint64_t>{count.served(), count.refused(), count.failed(), count.tokens(),
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -169,7 +169,7 @@
 }
 coordination::Command draw() {
   coordination::Command out;
-  coordination::Draw& d = *out.mutable_draw();
+  coordination::StockDraw& d = *out.mutable_draw();
   d.set_job("bank");
   d.set_number(1);
   d.set_serial(5);
@@ -266,9 +266,9 @@
 
 namespace {
 
-coordination::Count count(std::uint64_t served, std::uint64_t refused, std::uint64_t failed,
-                          std::uint64_t tokens, std::uint64_t priority_weight) {
-  coordination::Count out;
+coordination::RequestCounts count(std::uint64_t served, std::uint64_t refused, std::uint64_t failed,
+                                  std::uint64_t tokens, std::uint64_t priority_weight) {
+  coordination::RequestCounts out;
   out.set_served(served);
   out.set_refused(refused);
   out.set_failed(failed);
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -117,7 +117,7 @@
         jobs.apply(grant);
       }
       coordination::Command c;
-      coordination::Draw& d = *c.mutable_draw();
+      coordination::StockDraw& d = *c.mutable_draw();
       d.set_job("bank");
       d.set_number(jobs.table().last_number() - *rc::gen::inRange<std::uint64_t>(0, 2));
       d.set_serial(*rc::gen::inRange<std::uint64_t>(1, 50));
@@ -149,7 +149,7 @@
   CHECK(wallet.spend(0, 1, 0).verdict == Verdict::refused);
   const auto asked = wallet.questions(0);
   CHECK(asked.size() == 1 && !asked[0].to_peer);
-  coordination::Parcel p;
+  coordination::QuotaLease p;
   p.set_budget("s");
   p.set_ask(asked[0].ask.number() + 1);  // nobody asked for that
   p.set_amount(3 * kOne);
@@ -184,7 +184,7 @@
     wallet.parcel(over + 2 * core::kSecond, p);
   }
   CHECK(wallet.held(over + 2 * core::kSecond, 0) == 0);
-  coordination::Ask ask;
+  coordination::QuotaRequest ask;
   ask.set_budget("s");
   ask.set_want(INT64_MAX);
   CHECK(!wallet.lend(over, "x", ask));
@@ -208,13 +208,13 @@
 
 // ---- counts
 
-coordination::Row row(const std::string& name, std::uint64_t birth, std::uint64_t version,
-                      std::uint64_t served) {
-  coordination::Row r;
+coordination::CounterRow row(const std::string& name, std::uint64_t birth, std::uint64_t version,
+                             std::uint64_t served) {
+  coordination::CounterRow r;
   r.set_name(name);
   r.set_birth(birth);
   r.set_version(version);
-  coordination::Count& c = *r.add_counts();
+  coordination::RequestCounts& c = *r.add_counts();
   c.set_team("t");
   c.set_served(served);
   return r;
@@ -223,13 +223,13 @@
 // Any order, any number of times, through any others: the same in the end.
 bool merging_is_a_join() {
   return rc::check("rows merge in any order and any number of times", [] {
-    std::vector<coordination::Row> rows;
+    std::vector<coordination::CounterRow> rows;
     for (std::uint64_t birth = 1; birth <= 3; ++birth) {
       for (std::uint64_t version = 1; version <= 3; ++version) {
         for (const char* name : {"a", "b"}) {
           rows.push_back(row(name, birth, version, 10 * birth + version));
           for (std::uint64_t before = 1; before < birth; ++before) {
-            coordination::Mark& m = *rows.back().add_folded();
+            coordination::VersionMark& m = *rows.back().add_folded();
             m.set_name(name);
             m.set_birth(before);
             m.set_version(version);
@@ -237,9 +237,9 @@
         }
       }
     }
-    const auto read = [](const std::vector<coordination::Row>& in) {
+    const auto read = [](const std::vector<coordination::CounterRow>& in) {
       shared::ReplicatedCounter ledger(shared::Settings{}, "reader", 1, "");
-      for (const coordination::Row& r : in) CHECK(ledger.take(0, r, 0, 0).empty());
+      for (const coordination::CounterRow& r : in) CHECK(ledger.take(0, r, 0, 0).empty());
       std::uint64_t sum = 0;
       for (const auto& [key, total] : ledger.totals(0)) sum += total.count.served();
       std::string held;
@@ -247,7 +247,7 @@
         held += life.first + std::to_string(life.second) + "/" + std::to_string(h.entry.version()) + " ";
       return held + std::to_string(sum);
     };
-    std::vector<coordination::Row> mixed = rows;
+    std::vector<coordination::CounterRow> mixed = rows;
     for (int i = *rc::gen::inRange(0, 20); i > 0; --i)
       mixed.push_back(rows[*rc::gen::inRange<std::size_t>(0, rows.size())]);
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -261,7 +261,7 @@
   young.seal(0, {{{"t", "c"}, row("", 0, 0, 7).counts(0)}});
   CHECK(young.take(0, row("a", 3, 4, 100), 0, 0).empty());
   CHECK(young.seal(1, {{{"t", "c"}, row("", 0, 0, 8).counts(0)}}));
-  const coordination::Row told = young.rows().all().begin()->second.entry;
+  const coordination::CounterRow told = young.rows().all().begin()->second.entry;
   CHECK(young.rows().all().size() == 1 && told.folded_size() == 1 && told.folded(0).version() == 4);
   shared::ReplicatedCounter other(shared::Settings{}, "b", 1, "");
   CHECK(other.take(0, row("a", 3, 4, 100), 0, 0).empty() && other.take(0, told, 0, 0).empty());
@@ -289,10 +289,10 @@
     shared::Settings set;
     set.hearsay = true;
     const Micros now = 100 * core::kSecond;
-    shared::VersionedTable<coordination::Seen> heard(1000);
+    shared::VersionedTable<coordination::HealthObservations> heard(1000);
     std::map<core::ReplicaId, std::set<std::string>> bad, good, sites;
     for (int i = *rc::gen::inRange(0, 12); i > 0; --i) {
-      coordination::Seen s;
+      coordination::HealthObservations s;
       s.set_name("r" + std::to_string(i));
       s.set_birth(1);
       s.set_version(1);
@@ -300,7 +300,7 @@
       for (core::ReplicaId r = 1; r <= 8; ++r) {
         const int says = *rc::gen::inRange(0, 3);
         if (says == 0) continue;
-        coordination::Case& c = *s.add_cases();
+        coordination::ReplicaObservation& c = *s.add_cases();
         c.set_replica(r);
         c.set_bad(says == 1);
         c.set_age_us(*rc::gen::inRange<Micros>(0, 2 * set.keep));
