--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -1,10 +1,13 @@
-// Who of a fleet's routers is there: SWIM (probes of one another by turns, asked for through others,
-// suspicion, incarnations) with Lifeguard's local health. Pure: no clock, no socket; time and datagrams are
-// handed in, and what is to be sent is taken out. Times are microseconds of one clock that never runs
-// backwards.
+// Which routers of the fleet are alive: the SWIM protocol (probes in random order, indirect probes,
+// suspicion, incarnations, updates piggybacked on packets) with Lifeguard's local health.
 //
-// Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017). What differs is
-// written at the place: births of one name, dead ones that are asked again, and late ticks.
+// No I/O: time and received datagrams are handed in, datagrams to send are taken out with take(). One thread.
+// Times are microseconds of one clock that never runs backwards.
+//
+// Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017). Three things
+// differ from them: several processes may run under one name, one after another (Peer::birth); dead members
+// are contacted now and then, so that two halves of a partitioned fleet find each other again; and a process
+// that was suspended blames nobody for the answers that it missed.
 #pragma once
 
 #include <cstddef>
@@ -18,52 +21,41 @@
 
 #include "coordination.pb.h"
 #include "core/ports.h"
+#include "membership/gossip_buffer.h"
+#include "membership/peer.h"
+#include "membership/suspicion.h"
 
 namespace flintglade::membership {
 
-using coordination::MemberStatus;
-using core::Micros;
-
+// Of the packets; a receiver passes over fields that it does not know.
 inline constexpr std::uint32_t kVersion = 1;
 
 struct Settings {
-  std::string fleet;
-  Micros period = core::kSecond;        // a probe each, by turns
-  Micros timeout = 200 * core::kMilli;  // until others are asked to try; well under the period
-  std::size_t helpers = 3;              // whom to ask
-  double suspicion = 4.0;               // periods times the logarithm of the fleet's size, at the least
-  double suspicion_most = 3.0;          // times that, for what only one has seen
-  double retransmit = 4.0;              // how often a word is passed on, times the same logarithm
-  Micros sync = 15 * core::kSecond;     // all that is known, to and from one other
-  Micros forget = 600 * core::kSecond;  // after which a dead one is no longer asked for
-  std::size_t most_peers = 1024;        // names that are kept; words on more are dropped and counted
+  std::string fleet;              // packets of another fleet are dropped
+  Micros period = core::kSecond;  // between two probes
+  Micros timeout =
+      200 * core::kMilli;       // of a direct probe, before indirect ones are sent; well under the period
+  std::size_t helpers = 3;      // members that are asked for an indirect probe
+  double suspicion = 4.0;       // minimum suspicion, in periods times log10 of the fleet's size
+  double suspicion_most = 3.0;  // maximum suspicion, as a multiple of the minimum
+  double retransmit = 4.0;      // transmissions of an update, times log10 of the fleet's size
+  Micros sync =
+      15 * core::kSecond;  // mean time between exchanges of the full member list with another member
+  Micros forget = 600 * core::kSecond;  // after which a dead member is dropped
+  std::size_t most_peers = 1024;        // members that are kept; updates on more are dropped and counted
   std::size_t most_bytes = 1300;        // of a datagram
-  std::vector<std::string> seeds;       // ADDRESS:PORT, asked while nobody else is known, and now and then
-};
-
-struct Self {
-  std::string name, site, at;  // at: where others reach this router
-  std::uint64_t birth = 0;     // microseconds of Unix time at the start
-};
-
-struct Peer {
-  std::string name, site, at;
-  std::uint64_t birth = 0, incarnation = 0;
-  MemberStatus standing = coordination::ALIVE;
-  Micros since = 0;  // of this standing
-  std::uint32_t version = 0;
-  bool operator==(const Peer&) const = default;
+  std::vector<std::string> seeds;       // ADDRESS:PORT to join the fleet at, and to contact now and then
 };
 
-coordination::MemberState word_of(const Peer& p);  // what is said of it
-
 struct Datagram {
-  std::string to, bytes;
+  std::string to;  // ADDRESS:PORT
+  std::string bytes;
 };
 
+// Since the start.
 struct Counters {
   std::uint64_t sent = 0, received = 0, bytes_sent = 0;
-  std::uint64_t other_fleet = 0, unreadable = 0, not_for_us = 0, absurd = 0, too_many = 0;
+  std::uint64_t other_fleet = 0, unreadable = 0, not_for_us = 0, absurd = 0, too_many = 0;  // dropped
   std::uint64_t probes = 0, probes_failed = 0, suspected = 0, refuted = 0, late_ticks = 0;
 };
 
@@ -73,86 +65,125 @@
 
   void start(Micros now);
   void receive(Micros now, const std::string& from, std::string_view bytes);
-  void tick(
-      Micros now);  // call it when next() has come; being late is seen and does not count against others
+  // Does all that is due; to be called when next() has come. A late call does not count against other
+  // members.
+  void tick(Micros now);
   Micros next() const;
-  // Says good-bye to some others, who pass it on. Nothing is sent or answered from then on.
+  // Tells some members that this one leaves; they spread it. Nothing is sent or answered afterwards.
   void leave(Micros now);
 
-  coordination::Packet packet(
-      const std::string& to_name) const;  // addressed, of this fleet, with nothing in it
-  std::vector<Datagram> take();           // to be sent
-  std::vector<Peer> changed();  // of others: whose standing, birth or address is another since the last call
+  // An empty packet of this fleet, addressed to this member; empty: to whoever is at the address.
+  coordination::Packet packet(const std::string& to_name) const;
+  // The datagrams to send, once each.
+  std::vector<Datagram> take();
+  // Other members whose status, birth or address has changed since the last call.
+  std::vector<Peer> changed();
 
   // Another living process has this router's name and a later birth: this one takes no part any more.
   bool displaced() const { return displaced_; }
-  // Of the others, and this router itself with its own word.
+  // The other members by name, dead ones included.
   const std::map<std::string, Peer>& others() const { return peers_; }
   Peer self() const;
-  std::vector<Peer> living() const;       // alive or suspected, this router too, by name
-  int health() const { return health_; }  // 0 is well; slows this router's judgement of others
+  // Members that are alive or suspected, this one included, by name.
+  std::vector<Peer> living() const;
+  // Lifeguard's local health: 0 is healthy; higher values slow down this member's judgement of others.
+  int health() const { return health_; }
   const Counters& counters() const { return counters_; }
 
  private:
-  struct Known {
-    std::string by;  // who first suspected it; more of them shorten the wait
-    std::set<std::string> witnesses;
-    Micros ends = 0;  // of the suspicion
-  };
-  struct Rumor {
-    coordination::MemberState word;
-    int times = 0;
-  };
+  // The probe under way. Empty name: none.
   struct Probe {
     std::string name;
     std::uint64_t number = 0;
-    Micros sent = 0, ask_at = 0, ends = 0;
-    bool asked = false;
-    std::size_t helpers = 0, nacks = 0;
+    Micros indirect_at = 0;  // when to ask others to probe it
+    Micros ends = 0;
+    bool indirect = false;  // others have been asked
+    std::size_t helpers = 0;
+    std::size_t nacks = 0;  // helpers that answered that they did not reach it
   };
-  struct Rival {  // another life of our name, which is asked whether it lives
-    std::uint64_t birth = 0, number = 0;
+  // Another process under our name, which is asked whether it lives. Birth 0: none.
+  struct Rival {
+    std::uint64_t birth = 0;
+    std::uint64_t number = 0;
     Micros ends = 0;
   };
-  struct Relay {  // a ping for somebody else
-    std::string to;
-    std::uint64_t number = 0;  // theirs
+  // An indirect probe that this member makes for another one.
+  struct IndirectProbe {
+    std::string requester;     // its address
+    std::uint64_t number = 0;  // the requester's
     Micros nack_at = 0;
   };
 
-  void send(const std::string& at, coordination::Packet&& p, const std::string& about = "");
-  void add_words(coordination::Packet& p, const std::string& about);
-  void send_all(const std::string& at, const std::string& name, bool answer);
-  void take(Micros now, const coordination::MemberState& word);
-  void take_own(Micros now, const coordination::MemberState& word);
-  bool sane(const coordination::MemberState& word) const;
-  void set(Micros now, Peer& peer, const coordination::MemberState& word);
-  void suspect(Micros now, Peer& peer, const std::string& by);
-  void spread(const coordination::MemberState& word);
-  void probe(Micros now);
+  // ---- what tick() does, in order
+  void forgive_missed_answers(Micros late);
+  void expire_indirect_probes(Micros now);
+  void send_indirect_probes();
+  void expire_suspicions(Micros now);
+  void outlive_silent_rival(Micros now);
+  void start_probe(Micros now);
   void end_probe(Micros now, bool answered);
-  void heard(const std::string& name, std::uint64_t birth);
-  void well(int by);
-  double log_size() const;
-  Micros slowed(Micros t) const { return t * (1 + health_); }
+  void exchange_members(Micros now);
+  // Drops those that were dead for too long.
+  void forget_dead_members(Micros now);
+  void contact_seeds();
+
+  // ---- received packets
+  bool accepts(const coordination::Packet& packet);
+  void receive_from_own_name(const std::string& from, const coordination::Packet& packet);
+  void receive_ack(Micros now, std::uint64_t number);
+  void receive_indirect_probe(Micros now, const std::string& from, const coordination::PingFor& request);
+  void acknowledge(const std::string& address, const std::string& name, std::uint64_t number,
+                   const std::string& about);
+  void remind_of_its_status(const std::string& name, std::uint64_t birth);
+
+  // ---- updates on members
+  void apply(Micros now, const coordination::MemberState& update);
+  void apply_to_self(Micros now, const coordination::MemberState& update);
+  void confirm_suspicion(const Peer& peer, const coordination::MemberState& update);
+  void replace(Micros now, Peer& peer, const coordination::MemberState& update);
+  void suspect(Micros now, Peer& peer, const std::string& reported_by);
+  SuspicionBounds suspicion_bounds() const;
+  void spread_own_state() { gossip_.add(word_of(self())); }
+
+  // ---- sent packets
+  // about: a member whose state is to go along, so that it can refute it.
+  void send(const std::string& address, coordination::Packet&& packet, const std::string& about = "");
+  void add_updates(coordination::Packet& packet, const std::string& about);
+  // The whole member list, in as many datagrams as it takes. answer: the receiver's list is asked for.
+  void send_all_members(const std::string& address, const std::string& name, bool answer);
+
+  void adjust_health(int by);
+  double log_of_size() const;
+  Micros slowed(Micros span) const { return span * (1 + health_); }
+  Micros random_span(Micros least, Micros most) {
+    return std::uniform_int_distribution<Micros>(least, most)(random_);
+  }
+  template <typename Items>
+  auto random_item(const Items& items) {
+    return items[std::uniform_int_distribution<std::size_t>(0, items.size() - 1)(random_)];
+  }
 
   Settings settings_;
   Self self_;
   std::uint64_t incarnation_ = 1;
   std::mt19937_64 random_;
   std::map<std::string, Peer> peers_;
-  std::map<std::string, Known> suspected_;
-  std::map<std::string, Rumor> rumors_;  // the newest word on each name that is still passed on
-  std::vector<std::string> turns_;
-  std::vector<Datagram> out_;
+  std::map<std::string, Suspicion> suspicions_;
+  GossipBuffer gossip_;
+  std::vector<std::string> probe_order_;  // what is left of this round, the next one last
+  std::vector<Datagram> outgoing_;
   std::set<std::string> changed_;
-  std::map<std::uint64_t, Relay> relays_;
-  Probe probe_;  // name empty: none
-  Rival rival_;  // birth 0: none
-  std::uint64_t numbers_ = 0;
+  std::map<std::uint64_t, IndirectProbe> indirect_probes_;  // by the number of our own ping
+  Probe probe_;
+  Rival rival_;
+  std::uint64_t last_number_ = 0;  // of pings
   int health_ = 0;
-  Micros next_probe_ = core::kNever, next_sync_ = core::kNever, last_tick_ = 0, next_answer_ = 0;
-  bool left_ = false, displaced_ = false;
+  Micros next_probe_ = core::kNever;
+  Micros next_exchange_ = core::kNever;
+  Micros last_tick_ = 0;
+  Micros next_list_answer_ = 0;  // earlier requests for the member list are passed over
+  bool left_ = false;
+  bool displaced_ = false;
   Counters counters_;
 };
 
