--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -51,74 +51,74 @@
 #define FIELD(Type, name, value) io.field(m, &Type::name, &Type::set_##name, value)
 
 template <typename Io, typename M>
-void all(const Io& io, M& m, policy::Decayed& d) {
+void all(const Io& io, M& m, policy::DecayingSum& d) {
   FIELD(State::Decayed, sum, d.sum);
-  FIELD(State::Decayed, at, d.at);
+  FIELD(State::Decayed, at, d.updated_at);
 }
 template <typename Io, typename M>
-void all(const Io& io, M& m, policy::Stay& s) {
-  FIELD(State::Stay, area, s.area);
-  FIELD(State::Stay, sends, s.sends);
-  FIELD(State::Stay, at, s.at);
+void all(const Io& io, M& m, policy::TimeInSystem& s) {
+  FIELD(State::Stay, area, s.in_flight_seconds);
+  FIELD(State::Stay, sends, s.arrivals);
+  FIELD(State::Stay, at, s.updated_at);
 }
 template <typename Io, typename M>
-void all(const Io& io, M& m, policy::Known& k) {
+void all(const Io& io, M& m, policy::ReplicaStatistics& k) {
   FIELD(State::Known, health, k.health);
-  FIELD(State::Known, health_at, k.health_at);
-  FIELD(State::Known, cold_tokens, k.cold_tokens);
-  FIELD(State::Known, cold_at, k.cold_at);
-  all(io, *m.mutable_stay(), k.stay);
-  FIELD(State::Known, full_until, k.full_until);
-  FIELD(State::Known, down_until, k.down_until);
-  FIELD(State::Known, down, k.down);
+  FIELD(State::Known, health_at, k.health_updated_at);
+  FIELD(State::Known, cold_tokens, k.slow_start_tokens);
+  FIELD(State::Known, cold_at, k.slow_start_updated_at);
+  all(io, *m.mutable_stay(), k.time_in_system);
+  FIELD(State::Known, full_until, k.rejecting_until);
+  FIELD(State::Known, down_until, k.unreachable_until);
+  FIELD(State::Known, down, k.consecutive_connect_failures);
 }
 template <typename Io, typename M>
-void all(const Io& io, M& m, policy::ReadCost& c) {
-  FIELD(State::Kind, read_cost_s, c.per_token);
+void all(const Io& io, M& m, policy::PrefillCost& c) {
+  FIELD(State::Kind, read_cost_s, c.seconds_per_token);
   FIELD(State::Kind, read_samples, c.samples);
 }
 template <typename Io, typename M>
-void all(const Io& io, M& m, policy::Zone& z) {
-  FIELD(State::Zone, down_until, z.down_until);
-  FIELD(State::Zone, down, z.down);
+void all(const Io& io, M& m, policy::ZoneState& z) {
+  FIELD(State::Zone, down_until, z.unreachable_until);
+  FIELD(State::Zone, down, z.consecutive_connect_failures);
 }
 template <typename Io, typename M>
-void all(const Io& io, M& m, policy::Prefix& p) {
+void all(const Io& io, M& m, policy::PrefixState& p) {
   all(io, *m.mutable_work(), p.work);
   FIELD(State::Prefix, replicas, p.replicas);
 }
 template <typename Io, typename M>
 void sums(const Io& io, M& m, policy::LearnedState& l) {
-  FIELD(State::Learned, started, l.started);
-  all(io, *m.mutable_stay(), l.stay);
-  all(io, *m.mutable_arrived(), l.arrived);
-  all(io, *m.mutable_seen(), l.seen);
-  all(io, *m.mutable_late(), l.late);
-  all(io, *m.mutable_judged(), l.judged);
-  FIELD(State::Learned, same, l.same);
-  FIELD(State::Learned, pairs, l.pairs);
-  FIELD(State::Learned, widen, l.widen);
-  FIELD(State::Learned, admit, l.admit);
-  FIELD(State::Learned, keep, l.keep);
+  FIELD(State::Learned, started, l.started_at);
+  all(io, *m.mutable_stay(), l.time_in_system);
+  all(io, *m.mutable_arrived(), l.arrived_work);
+  all(io, *m.mutable_seen(), l.hot_window_work);
+  all(io, *m.mutable_late(), l.late_answers);
+  all(io, *m.mutable_judged(), l.answers);
+  FIELD(State::Learned, same, l.same_prefix_pairs);
+  FIELD(State::Learned, pairs, l.all_pairs);
+  FIELD(State::Learned, widen, l.prefix_widening);
+  FIELD(State::Learned, admit, l.admitted_share);
+  FIELD(State::Learned, keep, l.own_zone_share);
   FIELD(State::Learned, mean_value, l.mean_value);
-  FIELD(State::Learned, raw_mean, l.raw_mean);
-  FIELD(State::Learned, prompt_mean, l.prompt_mean);
-  FIELD(State::Learned, fleet_peak, l.fleet_peak);
-  FIELD(State::Learned, saved_retries, l.saved_retries);
-  FIELD(State::Learned, saved_hedges, l.saved_hedges);
+  FIELD(State::Learned, raw_mean, l.mean_raw_work);
+  FIELD(State::Learned, prompt_mean, l.mean_prompt_tokens);
+  FIELD(State::Learned, fleet_peak, l.peak_fleet_size);
+  FIELD(State::Learned, saved_retries, l.retry_tokens);
+  FIELD(State::Learned, saved_hedges, l.hedge_tokens);
 }
 #undef FIELD
 
 void write(policy::LearnedState l, State::Learned& m) {
   const Out io;
   sums(io, m, l);
-  for (auto& [id, stay] : l.kinds) {
+  for (auto& [id, stay] : l.time_in_system_by_kind) {
     State::Kind& to = *m.add_kinds();
     to.set_id(id);
     all(io, *to.mutable_stay(), stay);
-    all(io, to, l.read_costs[id]);
-    const auto top = l.live_top.find(id);
-    to.set_live_top(top == l.live_top.end() ? 0.0 : top->second);
+    all(io, to, l.prefill_costs[id]);
+    const auto top = l.largest_live_size.find(id);
+    to.set_live_top(top == l.largest_live_size.end() ? 0.0 : top->second);
   }
   for (auto& [id, zone] : l.zones) {
     State::Zone& to = *m.add_zones();
@@ -131,16 +131,16 @@
     to.set_id(id);
     all(io, to, prefix);
   }
-  for (std::size_t i = 0; i < l.waits.size(); ++i) {
+  for (std::size_t i = 0; i < l.first_event_latency.size(); ++i) {
     State::Class& to = *m.add_classes();
-    to.set_wait_mean(l.waits[i].mean);
-    to.set_wait_spread(l.waits[i].spread);
-    to.set_work(l.class_work[i]);
+    to.set_wait_mean(l.first_event_latency[i].mean);
+    to.set_wait_spread(l.first_event_latency[i].mean_deviation);
+    to.set_work(l.mean_class_work[i]);
   }
-  for (std::size_t i = 0; i < l.quota_at.size(); ++i) {
+  for (std::size_t i = 0; i < l.quota_updated_at.size(); ++i) {
     State::Tenant& to = *m.add_tenants();
     to.set_tokens(l.quota_tokens[i]);
-    to.set_at(l.quota_at[i]);
+    to.set_at(l.quota_updated_at[i]);
   }
   for (auto& [id, known] : l.replicas) {
     State::Known& to = *m.add_replicas();
@@ -148,7 +148,7 @@
     all(io, to, known);
   }
   m.mutable_slots()->Add(l.slots.begin(), l.slots.end());
-  m.mutable_own_slots()->Add(l.own_slots.begin(), l.own_slots.end());
+  m.mutable_own_slots()->Add(l.own_zone_slots.begin(), l.own_zone_slots.end());
 }
 
 // False: it holds what no writer of ours gives.
@@ -160,13 +160,14 @@
     return false;
   sums(io, m, l);
   for (State::Kind& from : *m.mutable_kinds()) {
-    all(io, *from.mutable_stay(), l.kinds[from.id()]);
-    policy::ReadCost& cost = l.read_costs[from.id()];
+    all(io, *from.mutable_stay(), l.time_in_system_by_kind[from.id()]);
+    policy::PrefillCost& cost = l.prefill_costs[from.id()];
     all(io, from, cost);
-    l.live_top[from.id()] = from.live_top();
-    io.sound = io.sound && from.live_top() >= 0.0 && from.live_top() < 1e15 && cost.per_token >= 0.0 &&
-               cost.samples >= 0.0 && cost.samples <= policy::ReadCost::kMostSamples &&
-               (cost.samples == 0.0 || cost.per_token > 0.0);  // its logarithm is taken
+    l.largest_live_size[from.id()] = from.live_top();
+    io.sound = io.sound && from.live_top() >= 0.0 && from.live_top() < 1e15 &&
+               cost.seconds_per_token >= 0.0 && cost.samples >= 0.0 &&
+               cost.samples <= policy::PrefillCost::kMaxSamples &&
+               (cost.samples == 0.0 || cost.seconds_per_token > 0.0);  // its logarithm is taken
   }
   for (State::Zone& from : *m.mutable_zones()) all(io, from, l.zones[from.id()]);
   for (State::Prefix& from : *m.mutable_prefixes()) {
@@ -174,26 +175,28 @@
     io.sound = io.sound && from.replicas() >= 1;
   }
   for (const State::Class& from : m.classes()) {
-    l.waits.push_back({from.wait_mean(), from.wait_spread()});
-    l.class_work.push_back(from.work());
+    l.first_event_latency.push_back({from.wait_mean(), from.wait_spread()});
+    l.mean_class_work.push_back(from.work());
     io.sound = io.sound && from.wait_mean() >= 0.0 && from.wait_mean() < 1e6 && from.wait_spread() >= 0.0 &&
                from.wait_spread() < 1e6 && from.work() >= 0.0 && from.work() < 1e6;
   }
   for (const State::Tenant& from : m.tenants()) {
     l.quota_tokens.push_back(from.tokens());
-    l.quota_at.push_back(from.at());
+    l.quota_updated_at.push_back(from.at());
     io.sound = io.sound && std::abs(from.tokens()) < 1e15 && std::abs(from.at()) < 1e15;
   }
   for (State::Known& from : *m.mutable_replicas()) {
-    policy::Known& known = l.replicas[from.id()];
+    policy::ReplicaStatistics& known = l.replicas[from.id()];
     all(io, from, known);
-    io.sound = io.sound && known.health >= 0.0 && known.health <= 1.0 && known.down >= 0;
+    io.sound =
+        io.sound && known.health >= 0.0 && known.health <= 1.0 && known.consecutive_connect_failures >= 0;
   }
   l.slots.assign(m.slots().begin(), m.slots().end());
-  l.own_slots.assign(m.own_slots().begin(), m.own_slots().end());
-  return io.sound && l.admit > 0.0 && l.admit <= 1.0 && l.keep >= 0.0 && l.keep <= 1.0 && l.widen >= 1.0 &&
-         l.widen <= 1000.0 && l.raw_mean >= 0.0 && l.prompt_mean >= 0.0 && l.stay.sends >= 0.0 &&
-         l.arrived.sum >= 0.0;
+  l.own_zone_slots.assign(m.own_slots().begin(), m.own_slots().end());
+  return io.sound && l.admitted_share > 0.0 && l.admitted_share <= 1.0 && l.own_zone_share >= 0.0 &&
+         l.own_zone_share <= 1.0 && l.prefix_widening >= 1.0 && l.prefix_widening <= 1000.0 &&
+         l.mean_raw_work >= 0.0 && l.mean_prompt_tokens >= 0.0 && l.time_in_system.arrivals >= 0.0 &&
+         l.arrived_work.sum >= 0.0;
 }
 
 }  // namespace
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,49 +6,66 @@
 namespace flintglade::policy {
 namespace {
 
-// Late or failed part of recent requests up to which things are calm; the admitted part under which excess
-// goes.
-constexpr double kCalm = 0.1, kExcessFrom = 0.9;
-constexpr double kLateTarget = 0.2, kAdmitStep = 0.06, kLeastAdmitted = 0.1;
-// Steps are made for so many answers a second; a router that sees fewer takes longer ones.
-constexpr double kAnswersASecond = 8.0, kLongestStep = 4.0;
+// Recent answers are those in this part of the load window.
+constexpr double kRecentPart = 0.3;
+// The late part of recent answers up to which answers count as in time, and how many timely ones are assumed
+// beside those seen.
+constexpr double kMaxLateInTime = 0.1, kPriorAnswers = 3.0;
+// Requests over their quota are rejected while less than this is admitted.
+constexpr double kMinAdmittedOverQuota = 0.9;
+// The late part of the admitted requests at which the admitted share settles; how far an answer moves it; the
+// least of it, so that recovery is noticed.
+constexpr double kTargetLatePart = 0.2, kStep = 0.06, kMinAdmittedShare = 0.1;
+// Steps are made for so many answers a second; a router that sees fewer takes longer ones, up to a limit.
+constexpr double kAnswersPerSecond = 8.0, kMaxStepMultiple = 4.0;
 constexpr double kClassWeight = 0.05;  // of one request in its class's mean work, and in the mean value
+constexpr double kMinWork = 0.05, kMinValue = 1e-9;
+// How much more or less a class is thinned than the mean, at the most.
+constexpr double kMinThinning = 0.25, kMaxThinning = 4.0;
 
 }  // namespace
 
-// A request is judged by the work of those before it: by its own, the largest of a class would be thinned
-// most.
-bool Admission::rejects(const Request& request, std::size_t its_class, double random) {
-  const double priority_weight = settings_.classes[its_class].priority_weight;
-  double& work = learned_.class_work[its_class];
+Admission::Admission(const Settings& settings, LearnedState& learned, double load_window_s)
+    : settings_(settings), learned_(learned), window_s_(load_window_s * kRecentPart) {
+  learned_.mean_class_work.assign(settings.classes.size(), 1.0);
+}
+
+// A request is judged by the mean work of its class before it: by its own, the largest would be thinned most.
+bool Admission::rejects(const Request& request, double random) {
+  const double weight = class_of(request, settings_).priority_weight;
+  double& mean_work = learned_.mean_class_work[request.class_index];
   const double value = std::max(
-      1e-9, settings_.priority_weight_by_work ? priority_weight : priority_weight / std::max(0.05, work));
-  work += kClassWeight * (request.work - work);
-  follow(learned_.mean_value, value, kClassWeight);
-  if (request.excess) return learned_.admit < kExcessFrom;
-  return random > std::pow(learned_.admit, std::clamp(learned_.mean_value / value, 0.25, 4.0));
+      kMinValue, settings_.priority_weight_by_work ? weight : weight / std::max(kMinWork, mean_work));
+  mean_work += kClassWeight * (request.work - mean_work);
+  update_mean(learned_.mean_value, value, kClassWeight);
+  if (request.over_quota) return learned_.admitted_share < kMinAdmittedOverQuota;
+  const double thinning = std::clamp(learned_.mean_value / value, kMinThinning, kMaxThinning);
+  return random > std::pow(learned_.admitted_share, thinning);
 }
 
 double Admission::step(double now) const {
-  const double answers_a_second = learned_.judged.value(now, span_) / span_;
-  return kAdmitStep * std::clamp(part(kAnswersASecond, answers_a_second), 1.0, kLongestStep);
+  const double answers_per_second = learned_.answers.value(now, window_s_) / window_s_;
+  return kStep * std::clamp(ratio_or_zero(kAnswersPerSecond, answers_per_second), 1.0, kMaxStepMultiple);
 }
 
-void Admission::answered(double now, const Request& request, const ClassSettings& its_class, bool late) {
-  if (!request.excess) {
+void Admission::on_answer(double now, const Request& request, bool late) {
+  if (!request.over_quota) {
     const double up = step(now);
-    // One late answer says little.
-    const double down = std::min(up, kAdmitStep * std::max(1.0, learned_.late.value(now, span_)));
-    const double loss = 1.0 - (request.bound ? its_class.late_value : 0.0);  // late may be worth a part
-    learned_.admit = late ? std::max(kLeastAdmitted, learned_.admit * (1.0 - down * loss))
-                          : std::min(1.0, learned_.admit + up * kLateTarget / (1.0 - kLateTarget));
+    // One late answer alone moves it by one plain step at the most.
+    const double down = std::min(up, kStep * std::max(1.0, learned_.late_answers.value(now, window_s_)));
+    // A late answer may still be worth a part.
+    const double loss = 1.0 - (request.streaming ? class_of(request, settings_).late_value : 0.0);
+    double& admitted = learned_.admitted_share;
+    admitted = late ? std::max(kMinAdmittedShare, admitted * (1.0 - down * loss))
+                    : std::min(1.0, admitted + up * kTargetLatePart / (1.0 - kTargetLatePart));
   }
-  learned_.judged.add(now, span_, 1.0);
-  if (late && !request.excess) learned_.late.add(now, span_, 1.0);
+  learned_.answers.add(now, window_s_, 1.0);
+  if (late && !request.over_quota) learned_.late_answers.add(now, window_s_, 1.0);
 }
 
 bool Admission::in_time(double now) const {
-  return learned_.late.value(now, span_) <= kCalm * (learned_.judged.value(now, span_) + 3.0);
+  return learned_.late_answers.value(now, window_s_) <=
+         kMaxLateInTime * (learned_.answers.value(now, window_s_) + kPriorAnswers);
 }
 
 }  // namespace flintglade::policy
--- /dev/null
+++ b/src/policy/hedging.cpp
@@ -0,0 +1,44 @@
+#include "policy/hedging.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace flintglade::policy {
+namespace {
+
+// Hedged requests for each request, and how many may be saved up.
+constexpr double kHedgesPerRequest = 0.015, kMaxTokens = 2.0, kFirstTokens = 1.0;
+// The second attempt goes out between these parts of the objective, where the class's usual latency and three
+// mean deviations put it.
+constexpr double kMinDelayPart = 0.5, kMaxDelayPart = 0.9, kDeviations = 3.0;
+constexpr double kLatencyWeight = 0.05;   // of one first event in the usual latency
+constexpr double kMaxLatencyRatio = 2.0;  // one that is later than this counts as this
+
+}  // namespace
+
+Hedging::Hedging(const Settings& settings, LearnedState& learned, const Admission& admission)
+    : learned_(learned), admission_(admission) {
+  learned_.first_event_latency.resize(settings.classes.size());
+  learned_.hedge_tokens = kFirstTokens;
+}
+
+void Hedging::on_new_request() {
+  learned_.hedge_tokens = std::min(kMaxTokens, learned_.hedge_tokens + kHedgesPerRequest);
+}
+
+void Hedging::on_first_event(const Request& request, double latency_s) {
+  const double ratio = std::max(0.0, latency_s) / request.latency_objective;
+  FirstEventLatency& usual = learned_.first_event_latency[request.class_index];
+  usual.mean_deviation += kLatencyWeight * (std::abs(ratio - usual.mean) - usual.mean_deviation);
+  usual.mean += kLatencyWeight * (std::min(ratio, kMaxLatencyRatio) - usual.mean);
+}
+
+bool Hedging::allowed(double now) const { return admission_.in_time(now) && learned_.hedge_tokens >= 1.0; }
+
+double Hedging::delay(const Request& request) const {
+  const FirstEventLatency& usual = learned_.first_event_latency[request.class_index];
+  return request.latency_objective *
+         std::clamp(usual.mean + kDeviations * usual.mean_deviation, kMinDelayPart, kMaxDelayPart);
+}
+
+}  // namespace flintglade::policy
--- a/src/policy/replica_state.h
+++ b/src/policy/replica_state.h
@@ -1,4 +1,4 @@
-// A replica as the decision module sees it: what the list says, and what this router has learned.
+// A replica as the decision module sees it: its entry in the endpoint list, and what this router has learned.
 #pragma once
 
 #include "flintglade/policy/balancer.h"
@@ -6,8 +6,9 @@
 
 namespace flintglade::policy {
 
-struct ReplicaState : Known {
-  Replica replica;
+struct ReplicaState : ReplicaStatistics {
+  Replica replica;  // as listed last; its size and start time are checked values
+
   bool ready() const { return replica.health == Health::ready; }
 };
 
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -7,31 +7,39 @@
 namespace flintglade::policy {
 namespace {
 
-constexpr double kLongestAim = 3600.0, kMostAimPer1000 = 60.0;  // seconds
-constexpr int kMostSlots = 65536;
-
-void bound(ClassSettings& c) {
-  c.hard_limit = sane(c.hard_limit, 0.01, kLongestAim);
-  c.latency_objective = sane(c.latency_objective, 0.001, c.hard_limit);
-  c.priority_weight = sane(c.priority_weight, 0.0, 1e9);
-  c.late_value = sane(c.late_value, 0.0, 1.0);
-  c.latency_objective_per_1000_tokens = sane(c.latency_objective_per_1000_tokens, 0.0, kMostAimPer1000);
+// Seconds. Longer than any client waits, so that times stay far from where doubles lose microseconds.
+constexpr double kMinHardLimitS = 0.01, kMaxHardLimitS = 3600.0, kMinObjectiveS = 0.001;
+constexpr double kMaxObjectivePer1000TokensS = 60.0;
+constexpr double kMaxPriorityWeight = 1e9;
+constexpr double kMinColdFrom = 0.01;  // a replica that takes nothing would never warm up
+constexpr double kMaxColdS = 3600.0, kMaxDialTimeoutS = 60.0;
+constexpr double kMinFallMultiple = 0.1, kMaxFallMultiple = 100.0;
+constexpr double kMinFallS = 0.01, kMaxFallS = 600.0;
+constexpr int kMaxSlots = 65536;  // the table is rebuilt with each list
+
+void bound(ClassSettings& settings) {
+  settings.hard_limit = clamp_finite(settings.hard_limit, kMinHardLimitS, kMaxHardLimitS);
+  settings.latency_objective = clamp_finite(settings.latency_objective, kMinObjectiveS, settings.hard_limit);
+  settings.priority_weight = clamp_finite(settings.priority_weight, 0.0, kMaxPriorityWeight);
+  settings.late_value = clamp_finite(settings.late_value, 0.0, 1.0);
+  settings.latency_objective_per_1000_tokens =
+      clamp_finite(settings.latency_objective_per_1000_tokens, 0.0, kMaxObjectivePer1000TokensS);
 }
 
 }  // namespace
 
 Settings within_bounds(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
-  for (ClassSettings& c : settings.classes) bound(c);
+  for (ClassSettings& request_class : settings.classes) bound(request_class);
   settings.balancers = std::max(settings.balancers, 1);
   settings.zones = std::max(settings.zones, 1);
   settings.max_attempts = std::max(settings.max_attempts, 1);
-  settings.slots = std::clamp(settings.slots, 0, kMostSlots);
-  settings.cold_from = sane(settings.cold_from, 0.01, 1.0);
-  settings.cold_s = sane(settings.cold_s, 0.0, 3600.0);
-  settings.dial_timeout = sane(settings.dial_timeout, 0.0, 60.0);
-  settings.fall_multiple = sane(settings.fall_multiple, 0.1, 100.0);
-  settings.fall_s = sane(settings.fall_s, 0.01, 600.0);
+  settings.slots = std::clamp(settings.slots, 0, kMaxSlots);
+  settings.cold_from = clamp_finite(settings.cold_from, kMinColdFrom, 1.0);
+  settings.cold_s = clamp_finite(settings.cold_s, 0.0, kMaxColdS);
+  settings.dial_timeout = clamp_finite(settings.dial_timeout, 0.0, kMaxDialTimeoutS);
+  settings.fall_multiple = clamp_finite(settings.fall_multiple, kMinFallMultiple, kMaxFallMultiple);
+  settings.fall_s = clamp_finite(settings.fall_s, kMinFallS, kMaxFallS);
   return settings;
 }
 
--- a/src/policy/settings_validation.h
+++ b/src/policy/settings_validation.h
@@ -1,4 +1,4 @@
-// The ranges of the decision module's settings.
+// The ranges of the decision module's settings. Pure functions; settings out of range are no error here.
 #pragma once
 
 #include "flintglade/policy/balancer.h"
--- a/src/policy/slot_table.cpp
+++ b/src/policy/slot_table.cpp
@@ -1,63 +1,76 @@
 #include "policy/slot_table.h"
 
+#include <utility>
+
 #include "policy/statistics.h"
 
 namespace flintglade::policy {
 
 std::int32_t jump_hash(std::uint64_t key, std::int32_t buckets) {
-  std::int64_t b = -1, j = 0;
-  while (j < buckets) {
-    b = j;
+  std::int64_t bucket = -1, next = 0;
+  while (next < buckets) {
+    bucket = next;
     key = key * 2862933555777941757ull + 1;
-    j = ((b + 1) << 31) / static_cast<std::int64_t>((key >> 33) + 1);
+    next = ((bucket + 1) << 31) / static_cast<std::int64_t>((key >> 33) + 1);
   }
-  return static_cast<std::int32_t>(b);
+  return static_cast<std::int32_t>(bucket);
 }
 
-void SlotTable::update(const std::vector<ReplicaState>& replicas, const std::vector<int>& ready_in_order,
-                       int fixed) {
-  if (fixed > 0) return fill(replicas, ready_in_order, fixed);
-  std::vector<bool> held(replicas.size(), false);
-  for (std::size_t s = 0; s < slots.size(); ++s) {
-    held[slots[s]] = standing[s] = replicas[slots[s]].ready();
+void SlotTable::update(const ReplicaTable& replicas, const std::vector<int>& ready_in_order,
+                       int fixed_slots) {
+  if (fixed_slots > 0) return fill_fixed(replicas, ready_in_order, fixed_slots);
+  std::vector<bool> has_slot(replicas.size(), false);
+  for (std::size_t slot = 0; slot < slots_.size(); ++slot) {
+    const bool ready = replicas[slots_[slot]].ready();
+    has_slot[slots_[slot]] = ready;
+    occupied_[slot] = ready;
   }
-  std::size_t hole = 0;
-  for (int r : ready_in_order) {
-    if (held[r]) continue;
-    while (hole < slots.size() && standing[hole]) ++hole;
-    if (hole == slots.size()) slots.push_back(r), standing.push_back(true);
-    slots[hole] = r;
-    standing[hole] = true;
+  std::size_t next_free = 0;
+  for (const int replica : ready_in_order) {
+    if (has_slot[replica]) continue;
+    while (next_free < slots_.size() && occupied_[next_free]) ++next_free;
+    if (next_free == slots_.size()) {
+      slots_.push_back(replica);
+      occupied_.push_back(true);
+    }
+    slots_[next_free] = replica;
+    occupied_[next_free] = true;
   }
-  members.clear();
-  for (std::size_t s = 0; s < slots.size(); ++s) {
-    if (standing[s]) members.push_back(slots[s]);
+  members_.clear();
+  for (std::size_t slot = 0; slot < slots_.size(); ++slot) {
+    if (occupied_[slot]) members_.push_back(slots_[slot]);
   }
 }
 
+void SlotTable::restore(std::vector<int> slots) {
+  slots_ = std::move(slots);
+  occupied_.assign(slots_.size(), false);
+}
+
 // Where no start times are told: a fixed number of slots, each with the replica that scores highest there
 // (rendezvous hashing; Thaler and Ravishankar, 1998). That is made of the set alone, whatever a router saw
 // before, and one that joins or leaves moves only the slots that it gets or had.
-void SlotTable::fill(const std::vector<ReplicaState>& replicas, const std::vector<int>& ready, int fixed) {
-  std::vector<bool> before(replicas.size(), false);
-  for (int r : members) before[r] = true;
-  slots.resize(fixed, -1);
-  const auto score = [&](int r, int slot) { return mix(replicas[r].replica.id, slot + 1); };
-  const auto take = [&](int r, int slot) {
-    if (slots[slot] < 0 || score(r, slot) > score(slots[slot], slot)) slots[slot] = r;
+void SlotTable::fill_fixed(const ReplicaTable& replicas, const std::vector<int>& ready, int fixed_slots) {
+  std::vector<bool> was_member(replicas.size(), false);
+  for (const int replica : members_) was_member[replica] = true;
+  slots_.resize(fixed_slots, -1);
+  const auto score = [&](int replica, int slot) { return mix(replicas[replica].replica.id, slot + 1); };
+  const auto offer = [&](int replica, int slot) {
+    if (slots_[slot] < 0 || score(replica, slot) > score(slots_[slot], slot)) slots_[slot] = replica;
   };
-  for (int slot = 0; slot < fixed; ++slot) {
-    if (slots[slot] < 0 || replicas[slots[slot]].ready()) continue;
-    slots[slot] = -1;
-    for (int r : ready) {
-      if (before[r]) take(r, slot);
+  for (int slot = 0; slot < fixed_slots; ++slot) {
+    if (slots_[slot] < 0 || replicas[slots_[slot]].ready()) continue;
+    slots_[slot] = -1;
+    for (const int replica : ready) {
+      if (was_member[replica]) offer(replica, slot);
     }
   }
-  for (int r : ready) {
-    for (int slot = 0; !before[r] && slot < fixed; ++slot) take(r, slot);
+  for (const int replica : ready) {
+    if (was_member[replica]) continue;
+    for (int slot = 0; slot < fixed_slots; ++slot) offer(replica, slot);
   }
-  members = ready;
-  standing.assign(fixed, !ready.empty());
+  members_ = ready;
+  occupied_.assign(fixed_slots, !ready.empty());
 }
 
 }  // namespace flintglade::policy
--- /dev/null
+++ b/src/policy/timer_cookie.h
@@ -0,0 +1,25 @@
+// The cookies of a Balancer's timers: the timer's purpose in the upper bits, the request in the lower ones.
+#pragma once
+
+#include <cstdint>
+
+#include "flintglade/policy/balancer.h"
+
+namespace flintglade::policy {
+
+enum class TimerKind : std::uint64_t { deadline = 0, hedge = 1, held_request = 2, endpoint_list = 3 };
+
+// Hosts number requests below 2^52.
+inline constexpr int kTimerKindShift = 52;
+
+inline std::uint64_t timer_cookie(TimerKind kind, RequestId request = 0) {
+  return request | static_cast<std::uint64_t>(kind) << kTimerKindShift;
+}
+inline TimerKind timer_kind(std::uint64_t cookie) {
+  return static_cast<TimerKind>(cookie >> kTimerKindShift);
+}
+inline RequestId timer_request(std::uint64_t cookie) {
+  return cookie & ((std::uint64_t{1} << kTimerKindShift) - 1);
+}
+
+}  // namespace flintglade::policy
--- a/tests/core/broker_recording_test.cpp
+++ b/tests/core/broker_recording_test.cpp
@@ -632,8 +632,9 @@
     hash_.add(word(word_of.since));
     hash_.add(word_of.version);
   }
-  for (const double figure : {handed.learned.admit, handed.learned.widen, handed.learned.saved_retries,
-                              handed.learned.arrived.sum, handed.learned.stay.area}) {
+  for (const double figure :
+       {handed.learned.admitted_share, handed.learned.prefix_widening, handed.learned.retry_tokens,
+        handed.learned.arrived_work.sum, handed.learned.time_in_system.in_flight_seconds}) {
     hash_.add_figure(figure);
   }
   return handed;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -24,8 +24,8 @@
   if (!held) std::exit(1);
 }
 double some(double most) { return *rc::gen::inRange(0, 1'000'000) / 1e6 * most; }
-flintglade::policy::Stay stay() { return {some(100), some(100), 0.0, some(6)}; }
-flintglade::policy::Decayed decayed() { return {some(1000), some(6)}; }
+flintglade::policy::TimeInSystem stay() { return {some(100), some(100), 0.0, some(6)}; }
+flintglade::policy::DecayingSum decayed() { return {some(1000), some(6)}; }
 
 Broker::ProcessSnapshot handed() {
   Broker::ProcessSnapshot h;
@@ -46,35 +46,35 @@
     h.entries.push_back(e);
     if (e.replica.health != flintglade::policy::Health::ready)
       h.retired.push_back({e.replica.id, *rc::gen::inRange<core::Micros>(0, kNow), h.version});
-    flintglade::policy::Known& k = h.learned.replicas[e.replica.id];
+    flintglade::policy::ReplicaStatistics& k = h.learned.replicas[e.replica.id];
     k = {some(1), some(6), some(5), some(6), stay(), some(9), some(9), *rc::gen::inRange(0, 9)};
     h.learned.slots.push_back(e.replica.id);
-    if (e.replica.zone == 1) h.learned.own_slots.push_back(e.replica.id);
-    h.learned.kinds[e.replica.kind] = stay();
-    h.learned.read_costs[e.replica.kind] = {1e-6 + some(1), some(20)};
-    h.learned.live_top[e.replica.kind] = some(4);
+    if (e.replica.zone == 1) h.learned.own_zone_slots.push_back(e.replica.id);
+    h.learned.time_in_system_by_kind[e.replica.kind] = stay();
+    h.learned.prefill_costs[e.replica.kind] = {1e-6 + some(1), some(20)};
+    h.learned.largest_live_size[e.replica.kind] = some(4);
     h.learned.zones[e.replica.zone] = {some(9), *rc::gen::inRange(0, 9)};
   }
   for (int i = 0; i < prefixes; ++i)
     h.learned.prefixes[*rc::gen::arbitrary<std::uint64_t>()] = {decayed(), *rc::gen::inRange(1, 20)};
   for (int i = 0; i < 3; ++i) {
-    h.learned.waits.push_back({some(2), some(1)});
-    h.learned.class_work.push_back(some(5));
+    h.learned.first_event_latency.push_back({some(2), some(1)});
+    h.learned.mean_class_work.push_back(some(5));
     h.learned.quota_tokens.push_back(some(50));
-    h.learned.quota_at.push_back(some(6));
+    h.learned.quota_updated_at.push_back(some(6));
   }
-  h.learned.stay = stay();
-  h.learned.arrived = decayed();
-  h.learned.seen = decayed();
-  h.learned.late = decayed();
-  h.learned.judged = decayed();
-  h.learned.same = some(1e6);
-  h.learned.pairs = some(1e6);
-  h.learned.widen = 1.0 + some(49);
-  h.learned.admit = 0.1 + some(0.9);
-  h.learned.keep = some(1);
-  h.learned.fleet_peak = some(100);
-  h.learned.prompt_mean = some(1e5);
+  h.learned.time_in_system = stay();
+  h.learned.arrived_work = decayed();
+  h.learned.hot_window_work = decayed();
+  h.learned.late_answers = decayed();
+  h.learned.answers = decayed();
+  h.learned.same_prefix_pairs = some(1e6);
+  h.learned.all_pairs = some(1e6);
+  h.learned.prefix_widening = 1.0 + some(49);
+  h.learned.admitted_share = 0.1 + some(0.9);
+  h.learned.own_zone_share = some(1);
+  h.learned.peak_fleet_size = some(100);
+  h.learned.mean_prompt_tokens = some(1e5);
   return h;
 }
 
@@ -146,13 +146,13 @@
             "" &&
         !same_list);
   for (const double wrong : {std::nan(""), std::numeric_limits<double>::infinity(), -1.0, 1e300}) {
-    h.learned.admit = wrong;
+    h.learned.admitted_share = wrong;
     CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "it holds numbers that cannot be");
   }
-  h.learned.admit = 1.0;
-  h.learned.kinds[0] = {};
+  h.learned.admitted_share = 1.0;
+  h.learned.time_in_system_by_kind[0] = {};
   CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "");
-  h.learned.read_costs[0] = {0.0, 3.0};  // three samples of no time at all
+  h.learned.prefill_costs[0] = {0.0, 3.0};  // three samples of no time at all
   CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "it holds numbers that cannot be");
 }
 
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -118,12 +118,13 @@
   std::vector<AttemptInHand> attempts;
 };
 
-void add(RecordingHash& hash, const Stay& stay) {
-  for (const double figure : {stay.area, stay.sends, stay.out, stay.at}) hash.add_figure(figure);
+void add(RecordingHash& hash, const TimeInSystem& stay) {
+  for (const double figure : {stay.in_flight_seconds, stay.arrivals, stay.in_flight, stay.updated_at})
+    hash.add_figure(figure);
 }
-void add(RecordingHash& hash, const Decayed& decayed) {
+void add(RecordingHash& hash, const DecayingSum& decayed) {
   hash.add_figure(decayed.sum);
-  hash.add_figure(decayed.at);
+  hash.add_figure(decayed.updated_at);
 }
 void add(RecordingHash& hash, const std::vector<double>& figures) {
   hash.add(figures.size());
@@ -133,33 +134,33 @@
   hash.add(ids.size());
   for (const std::uint64_t id : ids) hash.add(id);
 }
-void add(RecordingHash& hash, const Known& known) {
-  for (const double figure : {known.health, known.health_at, known.cold_tokens, known.cold_at,
-                              known.full_until, known.down_until}) {
+void add(RecordingHash& hash, const ReplicaStatistics& known) {
+  for (const double figure : {known.health, known.health_updated_at, known.slow_start_tokens,
+                              known.slow_start_updated_at, known.rejecting_until, known.unreachable_until}) {
     hash.add_figure(figure);
   }
-  add(hash, known.stay);
-  hash.add(static_cast<std::uint64_t>(known.down));
+  add(hash, known.time_in_system);
+  hash.add(static_cast<std::uint64_t>(known.consecutive_connect_failures));
 }
 
 void add_tables(RecordingHash& hash, const LearnedState& learned) {
-  for (const auto& [kind, size] : learned.live_top) {
+  for (const auto& [kind, size] : learned.largest_live_size) {
     hash.add(kind);
     hash.add_figure(size);
   }
-  for (const auto& [kind, stay] : learned.kinds) {
+  for (const auto& [kind, stay] : learned.time_in_system_by_kind) {
     hash.add(kind);
     add(hash, stay);
   }
-  for (const auto& [kind, cost] : learned.read_costs) {
+  for (const auto& [kind, cost] : learned.prefill_costs) {
     hash.add(kind);
-    hash.add_figure(cost.per_token);
+    hash.add_figure(cost.seconds_per_token);
     hash.add_figure(cost.samples);
   }
   for (const auto& [id, zone] : learned.zones) {
     hash.add(id);
-    hash.add_figure(zone.down_until);
-    hash.add(static_cast<std::uint64_t>(zone.down));
+    hash.add_figure(zone.unreachable_until);
+    hash.add(static_cast<std::uint64_t>(zone.consecutive_connect_failures));
   }
   for (const auto& [id, prefix] : learned.prefixes) {
     hash.add(id);
@@ -174,21 +175,24 @@
 
 void add(RecordingHash& hash, const LearnedState& learned) {
   add_tables(hash, learned);
-  for (const Wait& wait : learned.waits) {
+  for (const FirstEventLatency& wait : learned.first_event_latency) {
     hash.add_figure(wait.mean);
-    hash.add_figure(wait.spread);
+    hash.add_figure(wait.mean_deviation);
   }
-  for (const auto* figures : {&learned.class_work, &learned.quota_tokens, &learned.quota_at})
+  for (const auto* figures : {&learned.mean_class_work, &learned.quota_tokens, &learned.quota_updated_at})
     add(hash, *figures);
-  add(hash, learned.stay);
-  for (const auto* sum : {&learned.arrived, &learned.seen, &learned.late, &learned.judged}) add(hash, *sum);
-  for (const double figure : {learned.started, learned.same, learned.pairs, learned.widen, learned.admit,
-                              learned.keep, learned.mean_value, learned.raw_mean, learned.prompt_mean,
-                              learned.fleet_peak, learned.saved_retries, learned.saved_hedges}) {
+  add(hash, learned.time_in_system);
+  for (const auto* sum :
+       {&learned.arrived_work, &learned.hot_window_work, &learned.late_answers, &learned.answers})
+    add(hash, *sum);
+  for (const double figure :
+       {learned.started_at, learned.same_prefix_pairs, learned.all_pairs, learned.prefix_widening,
+        learned.admitted_share, learned.own_zone_share, learned.mean_value, learned.mean_raw_work,
+        learned.mean_prompt_tokens, learned.peak_fleet_size, learned.retry_tokens, learned.hedge_tokens}) {
     hash.add_figure(figure);
   }
   add(hash, learned.slots);
-  add(hash, learned.own_slots);
+  add(hash, learned.own_zone_slots);
 }
 
 // The replicas as they are, and how lists tell them.
@@ -417,7 +421,7 @@
     record(kTakeover, list_first, 0);
     if (list_first) tell_list(ListKind::full);
     LearnedState of_other_settings = learned;
-    of_other_settings.waits.emplace_back();
+    of_other_settings.first_event_latency.emplace_back();
     router(calling_).adopt(now_, of_other_settings, *this);  // to be passed over
     router(routers_.size() - 1).adopt(now_, learned, *this);
     if (!list_first) tell_list(ListKind::full);
@@ -565,7 +569,7 @@
     response.latency = now_ - attempt.sent;
     response.closed = request.over;
     if (outcome == Outcome::ok && random_.percent(traffic_.kept_percent)) {
-      response.note = static_cast<std::uint32_t>(sane(request.prefix_tokens, 0.0, 1e6));
+      response.note = static_cast<std::uint32_t>(clamp_finite(request.prefix_tokens, 0.0, 1e6));
     }
     router(request.router).on_attempt_result(told_time(), response, *this);
   }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -777,7 +777,7 @@
       const auto kept = static_cast<std::uint32_t>(i % 2 == 0 ? 600 : 0);
       s.query(q);
       const bool slow = kind(s.of(Action::attempt, id)[0].replica) == 1;
-      const double tokens = q.prompt_tokens - kept + ReadCost::kStepTokens;
+      const double tokens = q.prompt_tokens - kept + PrefillCost::kStepOverheadTokens;
       s.run_to(s.now + tokens * (slow ? seconds_per_token : 3e-5));
       s.accept(id, 0);
       s.run_to(s.now + 0.5);
@@ -792,19 +792,19 @@
 }
 
 TEST(Kinds, OneSlowFirstEventAmongQuickOnesSaysLittleOfAKind) {
-  ReadCost cost;
+  PrefillCost cost;
   for (int i = 0; i < 10; ++i) cost.add(0.05, 600.0);
-  const double usual = cost.per_token;
-  EXPECT_NEAR(usual, 0.05 / (600.0 + ReadCost::kStepTokens), 1e-9);
+  const double usual = cost.seconds_per_token;
+  EXPECT_NEAR(usual, 0.05 / (600.0 + PrefillCost::kStepOverheadTokens), 1e-9);
   cost.add(5.0, 600.0);  // behind a hundred others' prompts
-  EXPECT_LT(cost.per_token, 11.0 * usual);
+  EXPECT_LT(cost.seconds_per_token, 11.0 * usual);
   for (int i = 0; i < 10; ++i) cost.add(0.05, 600.0);
-  EXPECT_LT(cost.per_token, 1.4 * usual);
+  EXPECT_LT(cost.seconds_per_token, 1.4 * usual);
   cost.add(0.01, -50.0);  // more kept than was asked for counts as nothing read
-  EXPECT_GT(cost.per_token, 0.0);
-  const ReadCost before = cost;
+  EXPECT_GT(cost.seconds_per_token, 0.0);
+  const PrefillCost before = cost;
   cost.add(0.0, 600.0);  // no wait that could be measured says nothing
-  EXPECT_EQ(cost.per_token, before.per_token);
+  EXPECT_EQ(cost.seconds_per_token, before.seconds_per_token);
   EXPECT_EQ(cost.samples, before.samples);
 }
 
@@ -1284,8 +1284,8 @@
   EXPECT_GE(old.b.avoided(old.now), 1u);
   EXPECT_EQ(heir.b.avoided(heir.now), old.b.avoided(old.now));
   EXPECT_EQ(fresh.b.avoided(fresh.now), 0u);
-  EXPECT_EQ(heir.b.learned().admit, old.b.learned().admit);
-  EXPECT_LT(heir.b.learned().admit, 0.95);
+  EXPECT_EQ(heir.b.learned().admitted_share, old.b.learned().admitted_share);
+  EXPECT_LT(heir.b.learned().admitted_share, 0.95);
   int moved = 0, all = 0, differ = 0;
   for (std::uint64_t session = 1; session <= 400; ++session) {
     const ReplicaId before = old.placed(session);
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -37,37 +37,37 @@
 
 // ---- the state snapshot
 
-void expect_same(const policy::Stay& read, const policy::Stay& sample) {
-  EXPECT_EQ(read.area, sample.area);
-  EXPECT_EQ(read.sends, sample.sends);
-  EXPECT_EQ(read.at, sample.at);
+void expect_same(const policy::TimeInSystem& read, const policy::TimeInSystem& sample) {
+  EXPECT_EQ(read.in_flight_seconds, sample.in_flight_seconds);
+  EXPECT_EQ(read.arrivals, sample.arrivals);
+  EXPECT_EQ(read.updated_at, sample.updated_at);
 }
-void expect_same(const policy::Decayed& read, const policy::Decayed& sample) {
+void expect_same(const policy::DecayingSum& read, const policy::DecayingSum& sample) {
   EXPECT_EQ(read.sum, sample.sum);
-  EXPECT_EQ(read.at, sample.at);
+  EXPECT_EQ(read.updated_at, sample.updated_at);
 }
-void expect_same(const policy::ReadCost& read, const policy::ReadCost& sample) {
-  EXPECT_EQ(read.per_token, sample.per_token);
+void expect_same(const policy::PrefillCost& read, const policy::PrefillCost& sample) {
+  EXPECT_EQ(read.seconds_per_token, sample.seconds_per_token);
   EXPECT_EQ(read.samples, sample.samples);
 }
 void expect_same(double read, double sample) { EXPECT_EQ(read, sample); }
-void expect_same(const policy::Zone& read, const policy::Zone& sample) {
-  EXPECT_EQ(read.down_until, sample.down_until);
-  EXPECT_EQ(read.down, sample.down);
+void expect_same(const policy::ZoneState& read, const policy::ZoneState& sample) {
+  EXPECT_EQ(read.unreachable_until, sample.unreachable_until);
+  EXPECT_EQ(read.consecutive_connect_failures, sample.consecutive_connect_failures);
 }
-void expect_same(const policy::Prefix& read, const policy::Prefix& sample) {
+void expect_same(const policy::PrefixState& read, const policy::PrefixState& sample) {
   expect_same(read.work, sample.work);
   EXPECT_EQ(read.replicas, sample.replicas);
 }
-void expect_same(const policy::Known& read, const policy::Known& sample) {
+void expect_same(const policy::ReplicaStatistics& read, const policy::ReplicaStatistics& sample) {
   EXPECT_EQ(read.health, sample.health);
-  EXPECT_EQ(read.health_at, sample.health_at);
-  EXPECT_EQ(read.cold_tokens, sample.cold_tokens);
-  EXPECT_EQ(read.cold_at, sample.cold_at);
-  expect_same(read.stay, sample.stay);
-  EXPECT_EQ(read.full_until, sample.full_until);
-  EXPECT_EQ(read.down_until, sample.down_until);
-  EXPECT_EQ(read.down, sample.down);
+  EXPECT_EQ(read.health_updated_at, sample.health_updated_at);
+  EXPECT_EQ(read.slow_start_tokens, sample.slow_start_tokens);
+  EXPECT_EQ(read.slow_start_updated_at, sample.slow_start_updated_at);
+  expect_same(read.time_in_system, sample.time_in_system);
+  EXPECT_EQ(read.rejecting_until, sample.rejecting_until);
+  EXPECT_EQ(read.unreachable_until, sample.unreachable_until);
+  EXPECT_EQ(read.consecutive_connect_failures, sample.consecutive_connect_failures);
 }
 template <typename Table>
 void expect_same_table(const Table& read, const Table& sample) {
@@ -78,42 +78,42 @@
   }
 }
 void expect_same_sums(const policy::LearnedState& read, const policy::LearnedState& sample) {
-  EXPECT_EQ(read.started, sample.started);
-  expect_same(read.stay, sample.stay);
-  expect_same(read.arrived, sample.arrived);
-  expect_same(read.seen, sample.seen);
-  expect_same(read.late, sample.late);
-  expect_same(read.judged, sample.judged);
-  EXPECT_EQ(read.same, sample.same);
-  EXPECT_EQ(read.pairs, sample.pairs);
-  EXPECT_EQ(read.widen, sample.widen);
-  EXPECT_EQ(read.admit, sample.admit);
-  EXPECT_EQ(read.keep, sample.keep);
+  EXPECT_EQ(read.started_at, sample.started_at);
+  expect_same(read.time_in_system, sample.time_in_system);
+  expect_same(read.arrived_work, sample.arrived_work);
+  expect_same(read.hot_window_work, sample.hot_window_work);
+  expect_same(read.late_answers, sample.late_answers);
+  expect_same(read.answers, sample.answers);
+  EXPECT_EQ(read.same_prefix_pairs, sample.same_prefix_pairs);
+  EXPECT_EQ(read.all_pairs, sample.all_pairs);
+  EXPECT_EQ(read.prefix_widening, sample.prefix_widening);
+  EXPECT_EQ(read.admitted_share, sample.admitted_share);
+  EXPECT_EQ(read.own_zone_share, sample.own_zone_share);
   EXPECT_EQ(read.mean_value, sample.mean_value);
-  EXPECT_EQ(read.raw_mean, sample.raw_mean);
-  EXPECT_EQ(read.prompt_mean, sample.prompt_mean);
-  EXPECT_EQ(read.fleet_peak, sample.fleet_peak);
-  EXPECT_EQ(read.saved_retries, sample.saved_retries);
-  EXPECT_EQ(read.saved_hedges, sample.saved_hedges);
+  EXPECT_EQ(read.mean_raw_work, sample.mean_raw_work);
+  EXPECT_EQ(read.mean_prompt_tokens, sample.mean_prompt_tokens);
+  EXPECT_EQ(read.peak_fleet_size, sample.peak_fleet_size);
+  EXPECT_EQ(read.retry_tokens, sample.retry_tokens);
+  EXPECT_EQ(read.hedge_tokens, sample.hedge_tokens);
 }
 void expect_same(const policy::LearnedState& read, const policy::LearnedState& sample) {
   expect_same_sums(read, sample);
-  expect_same_table(read.kinds, sample.kinds);
-  expect_same_table(read.read_costs, sample.read_costs);
-  expect_same_table(read.live_top, sample.live_top);
+  expect_same_table(read.time_in_system_by_kind, sample.time_in_system_by_kind);
+  expect_same_table(read.prefill_costs, sample.prefill_costs);
+  expect_same_table(read.largest_live_size, sample.largest_live_size);
   expect_same_table(read.zones, sample.zones);
   expect_same_table(read.prefixes, sample.prefixes);
   expect_same_table(read.replicas, sample.replicas);
-  ASSERT_EQ(read.waits.size(), sample.waits.size());
-  for (std::size_t i = 0; i < sample.waits.size(); ++i) {
-    EXPECT_EQ(read.waits[i].mean, sample.waits[i].mean);
-    EXPECT_EQ(read.waits[i].spread, sample.waits[i].spread);
+  ASSERT_EQ(read.first_event_latency.size(), sample.first_event_latency.size());
+  for (std::size_t i = 0; i < sample.first_event_latency.size(); ++i) {
+    EXPECT_EQ(read.first_event_latency[i].mean, sample.first_event_latency[i].mean);
+    EXPECT_EQ(read.first_event_latency[i].mean_deviation, sample.first_event_latency[i].mean_deviation);
   }
-  EXPECT_EQ(read.class_work, sample.class_work);
+  EXPECT_EQ(read.mean_class_work, sample.mean_class_work);
   EXPECT_EQ(read.quota_tokens, sample.quota_tokens);
-  EXPECT_EQ(read.quota_at, sample.quota_at);
+  EXPECT_EQ(read.quota_updated_at, sample.quota_updated_at);
   EXPECT_EQ(read.slots, sample.slots);
-  EXPECT_EQ(read.own_slots, sample.own_slots);
+  EXPECT_EQ(read.own_zone_slots, sample.own_zone_slots);
 }
 void expect_same(const core::Endpoint& read, const core::Endpoint& sample) {
   EXPECT_EQ(read.address, sample.address);
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -16,17 +16,17 @@
 
 using policy::Health;
 
-policy::Stay stay(double area, double sends, double at) {
-  policy::Stay out;
-  out.area = area;
-  out.sends = sends;
-  out.at = at;
+policy::TimeInSystem stay(double area, double sends, double at) {
+  policy::TimeInSystem out;
+  out.in_flight_seconds = area;
+  out.arrivals = sends;
+  out.updated_at = at;
   return out;
 }
-policy::Decayed decayed(double sum, double at) {
-  policy::Decayed out;
+policy::DecayingSum decayed(double sum, double at) {
+  policy::DecayingSum out;
   out.sum = sum;
-  out.at = at;
+  out.updated_at = at;
   return out;
 }
 core::Endpoint replica(std::uint64_t id, const std::string& address, Health health, double started_at) {
@@ -41,59 +41,59 @@
   out.replica.started_at = started_at;
   return out;
 }
-policy::Known known_replica(double step) {
-  policy::Known out;
+policy::ReplicaStatistics known_replica(double step) {
+  policy::ReplicaStatistics out;
   out.health = 0.875 - step / 16;
-  out.health_at = 5.25 + step / 8;
-  out.cold_tokens = 1200.5 + step;
-  out.cold_at = 4.5 + step / 8;
-  out.stay = stay(3.5 + step, 2.25 + step, 5.125);
-  out.full_until = 6.5 + step;
-  out.down_until = 7.75 + step;
-  out.down = 3 + static_cast<int>(step);
+  out.health_updated_at = 5.25 + step / 8;
+  out.slow_start_tokens = 1200.5 + step;
+  out.slow_start_updated_at = 4.5 + step / 8;
+  out.time_in_system = stay(3.5 + step, 2.25 + step, 5.125);
+  out.rejecting_until = 6.5 + step;
+  out.unreachable_until = 7.75 + step;
+  out.consecutive_connect_failures = 3 + static_cast<int>(step);
   return out;
 }
 void fill_tables(policy::LearnedState& learned) {
-  learned.kinds[4] = stay(11.5, 6.25, 5.5);
-  learned.kinds[5] = stay(12.5, 7.25, 5.75);
-  learned.read_costs[4].per_token = 0.000125;
-  learned.read_costs[4].samples = 20.0;
-  learned.read_costs[5].per_token = 0.00025;
-  learned.read_costs[5].samples = 3.5;
-  learned.live_top[4] = 2.5;
-  learned.live_top[5] = 0.75;
-  learned.zones[0].down_until = 8.25;
-  learned.zones[0].down = 2;
-  learned.zones[2].down_until = 0.5;
-  learned.zones[2].down = 0;
+  learned.time_in_system_by_kind[4] = stay(11.5, 6.25, 5.5);
+  learned.time_in_system_by_kind[5] = stay(12.5, 7.25, 5.75);
+  learned.prefill_costs[4].seconds_per_token = 0.000125;
+  learned.prefill_costs[4].samples = 20.0;
+  learned.prefill_costs[5].seconds_per_token = 0.00025;
+  learned.prefill_costs[5].samples = 3.5;
+  learned.largest_live_size[4] = 2.5;
+  learned.largest_live_size[5] = 0.75;
+  learned.zones[0].unreachable_until = 8.25;
+  learned.zones[0].consecutive_connect_failures = 2;
+  learned.zones[2].unreachable_until = 0.5;
+  learned.zones[2].consecutive_connect_failures = 0;
   for (std::uint64_t i = 1; i <= 5; ++i) {
-    policy::Prefix& prefix = learned.prefixes[0x9e3779b97f4a7c15u * i];
+    policy::PrefixState& prefix = learned.prefixes[0x9e3779b97f4a7c15u * i];
     prefix.work = decayed(1000.25 * static_cast<double>(i), 5.0 + static_cast<double>(i) / 16);
     prefix.replicas = static_cast<int>(i);
   }
-  learned.waits = {{0.25, 0.125}, {0.5, 0.0625}};
-  learned.class_work = {1.5, 2.75};
+  learned.first_event_latency = {{0.25, 0.125}, {0.5, 0.0625}};
+  learned.mean_class_work = {1.5, 2.75};
   learned.quota_tokens = {40.5, -2.25, 0.0};
-  learned.quota_at = {5.5, 5.625, 0.25};
+  learned.quota_updated_at = {5.5, 5.625, 0.25};
 }
 void fill_sums(policy::LearnedState& learned) {
-  learned.started = 0.5;
-  learned.stay = stay(21.5, 13.25, 5.875);
-  learned.arrived = decayed(101.5, 5.8125);
-  learned.seen = decayed(102.5, 5.75);
-  learned.late = decayed(3.5, 5.6875);
-  learned.judged = decayed(104.5, 5.625);
-  learned.same = 201.5;
-  learned.pairs = 302.5;
-  learned.widen = 1.75;
-  learned.admit = 0.9375;
-  learned.keep = 0.8125;
+  learned.started_at = 0.5;
+  learned.time_in_system = stay(21.5, 13.25, 5.875);
+  learned.arrived_work = decayed(101.5, 5.8125);
+  learned.hot_window_work = decayed(102.5, 5.75);
+  learned.late_answers = decayed(3.5, 5.6875);
+  learned.answers = decayed(104.5, 5.625);
+  learned.same_prefix_pairs = 201.5;
+  learned.all_pairs = 302.5;
+  learned.prefix_widening = 1.75;
+  learned.admitted_share = 0.9375;
+  learned.own_zone_share = 0.8125;
   learned.mean_value = 0.625;
-  learned.raw_mean = 0.375;
-  learned.prompt_mean = 2048.5;
-  learned.fleet_peak = 17.5;
-  learned.saved_retries = 1.25;
-  learned.saved_hedges = 2.125;
+  learned.mean_raw_work = 0.375;
+  learned.mean_prompt_tokens = 2048.5;
+  learned.peak_fleet_size = 17.5;
+  learned.retry_tokens = 1.25;
+  learned.hedge_tokens = 2.125;
 }
 
 }  // namespace
@@ -117,7 +117,7 @@
     out.learned.replicas[id] = known_replica(static_cast<double>(i));
     out.learned.slots.push_back(id);
   }
-  out.learned.own_slots = {77, 0xa1b2c3d4e5f60708u};
+  out.learned.own_zone_slots = {77, 0xa1b2c3d4e5f60708u};
   return out;
 }
 
