--- a/src/policy/statistics.h
+++ b/src/policy/statistics.h
@@ -6,6 +6,7 @@
 #include <cmath>
 #include <cstddef>
 #include <cstdint>
+#include <map>
 
 namespace flintglade::policy {
 
--- /dev/null
+++ b/tests/policy/endpoint_list_polling_test.cpp
@@ -0,0 +1,61 @@
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "policy/scripted_router.h"
+
+namespace flintglade::policy {
+namespace {
+
+using namespace testing_support;
+
+TEST(EndpointListPolling, SubscribesAtTheStartAndBacksOffAfterFailures) {
+  Settings settings = test_settings();
+  settings.list_on_request = true;
+  settings.must_ask_in = 10.0;
+  ScriptedRouter router(settings);
+  router.list(ListKind::cached, ready_replicas(3));
+  router.run_to(100.5);
+  EXPECT_EQ(router.actions(Action::subscribe).size(), 1u);
+  std::vector<double> waits;
+  for (int i = 0; i < 8; ++i) {
+    const auto asked = router.actions(Action::subscribe).size();
+    router.list(ListKind::failed, {});
+    EXPECT_NE(router.place(5), 0u);  // the last list stays in force
+    const double from = router.now;
+    while (router.actions(Action::subscribe).size() == asked && router.now < from + 60.0)
+      router.run_to(router.now + 0.01);
+    waits.push_back(router.now - from);
+  }
+  for (const double wait : waits) EXPECT_LT(wait, 3.1);  // releases go on while the list is not seen
+  EXPECT_GT(waits[3] + waits[4], waits[0] * 2.0);
+  router.list(ListKind::delta, {});
+  const auto asked = router.actions(Action::subscribe).size();
+  router.run_to(400.0);
+  EXPECT_EQ(router.actions(Action::subscribe).size(), asked);  // subscribed: no further calls
+}
+
+// What an agent beside the router has counts as told, also before it is asked: it is asked again soon.
+TEST(EndpointListPolling, AsksAnAgentAgainSoon) {
+  Settings settings = test_settings();
+  settings.list_on_request = settings.list_pushed = true;
+  ScriptedRouter router(settings);
+  router.list(ListKind::cached, ready_replicas(3));
+  router.run_to(100.5);
+  for (int i = 0; i < 8; ++i) {
+    const auto asked = router.actions(Action::subscribe).size();
+    router.list(ListKind::failed, {});
+    router.run_to(router.now + 0.4);
+    EXPECT_GT(router.actions(Action::subscribe).size(), asked);
+  }
+}
+
+TEST(EndpointListPolling, NeverAsksForAPushedList) {
+  ScriptedRouter router(test_settings());
+  router.list(ListKind::cached, ready_replicas(3));
+  router.run_to(200.0);
+  EXPECT_TRUE(router.actions(Action::subscribe).empty());
+}
+
+}  // namespace
+}  // namespace flintglade::policy
--- a/tests/settings.h
+++ b/tests/settings.h
@@ -1,4 +1,5 @@
-// The settings that tests give to routers: one class whose repeats are harmless, and one whose are not.
+// The settings (GW_CONFIG) that tests of whole routers use: one class of idempotent requests, one of such
+// that are not.
 #pragma once
 
 namespace flintglade::tests {
