--- a/tests/policy/retry_budget_test.cpp
+++ b/tests/policy/retry_budget_test.cpp
@@ -1,3 +1,5 @@
+#include "policy/retry_budget.h"
+
 #include <gtest/gtest.h>
 
 #include "policy/scripted_router.h"
@@ -17,5 +19,16 @@
   EXPECT_LT(router.actions(Action::attempt).size(), 300u * 13 / 10);
 }
 
+TEST(RetryBudget, RefillsByAFifthOfARetryForEachRequestUpToItsLimit) {
+  LearnedState learned;
+  RetryBudget budget(learned);
+  for (int i = 0; i < 10; ++i) budget.spend();
+  EXPECT_TRUE(budget.exhausted());
+  for (int i = 0; i < 6; ++i) budget.on_new_request();
+  EXPECT_FALSE(budget.exhausted());
+  for (int i = 0; i < 1000; ++i) budget.on_new_request();
+  EXPECT_EQ(learned.retry_tokens, RetryBudget::kMaxTokens);
+}
+
 }  // namespace
 }  // namespace flintglade::policy
--- a/tests/policy/settings_validation_test.cpp
+++ b/tests/policy/settings_validation_test.cpp
@@ -1,3 +1,5 @@
+#include "policy/settings_validation.h"
+
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -46,5 +48,31 @@
   }
 }
 
+TEST(SettingsValidation, DrawsFiguresIntoTheirRangesAndAddsAClass) {
+  Settings settings;
+  settings.balancers = 0;
+  settings.zones = -1;
+  settings.max_attempts = 0;
+  settings.slots = 1 << 30;
+  settings.cold_from = std::nan("");
+  settings.fall_s = 0.0;
+  const Settings bounded = within_bounds(settings);
+  EXPECT_EQ(bounded.classes.size(), 1u);
+  EXPECT_EQ(bounded.balancers, 1);
+  EXPECT_EQ(bounded.zones, 1);
+  EXPECT_EQ(bounded.max_attempts, 1);
+  EXPECT_EQ(bounded.slots, 65536);
+  EXPECT_EQ(bounded.cold_from, 0.01);
+  EXPECT_EQ(bounded.fall_s, 0.01);
+}
+
+TEST(SettingsValidation, AnObjectiveIsNeverBeyondTheHardLimit) {
+  Settings settings;
+  settings.classes.emplace_back();
+  settings.classes[0].latency_objective = 10.0;
+  settings.classes[0].hard_limit = 3.0;
+  EXPECT_EQ(within_bounds(settings).classes[0].latency_objective, 3.0);
+}
+
 }  // namespace
 }  // namespace flintglade::policy
