--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -12,99 +12,105 @@
 namespace flintglade::commands {
 
 using hot_restart::DescriptorPassing;
-using hot_restart::Stage;
+using hot_restart::ProcessStage;
 using log::Level;
 
 namespace {
-// While answers wait for a moment in which they can move.
-constexpr std::chrono::milliseconds kMoveEvery{10};
+// Between two attempts, while streams wait for a moment in which they can migrate.
+constexpr std::chrono::milliseconds kMigrationPeriod{10};
 }  // namespace
 
 HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, core::Clock& clock,
                                              core::Broker& broker, http::HttpServer& front,
                                              http::HttpReplicaClient& replicas,
-                                             hot_restart::ProcessSlots& seats, const config::Config& config)
+                                             hot_restart::ProcessSlots& slots, const config::Config& config)
     : clock_(clock),
       broker_(broker),
       front_(front),
-      process_slots_(seats),
+      process_slots_(slots),
       folder_(config.scratch),
       origin_{config.name, "", clock.now(), -unix_to_monotonic(clock)},
       stream_migration_(broker, front, replicas),
       descriptor_passing_(io),
-      snapshot_file_(io, config.scratch, seats.seat()),
-      again_(io),
+      snapshot_file_(io, config.scratch, slots.slot()),
+      wake_timer_(io),
       changes_(io) {
-  discovery(config.discovery);
+  set_discovery(config.discovery);
 }
 
 void HotRestartCoordinator::start() {
-  const std::string why =
-      descriptor_passing_.open(folder_, process_slots_.seat(),
-                               [this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
-                                 stream_migration_.in(bytes, descriptors);
-                               });
-  if (!why.empty())
+  const absl::Status listening =
+      descriptor_passing_.listen(folder_, process_slots_.slot(),
+                                 [this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
+                                   stream_migration_.in(bytes, descriptors);
+                                 });
+  if (!listening.ok())
     log::event(Level::warn, "stream_migration_unavailable",
-               {{"why", why}, {"answers", "end where they began"}});
-  if (process_slots_.changes() < 0) return;
-  changes_.assign(::dup(process_slots_.changes()));
-  watch();
-  take_state();
+               {{"why", std::string(listening.message())}, {"answers", "end where they began"}});
+  if (process_slots_.change_descriptor() < 0) return;
+  changes_.assign(::dup(process_slots_.change_descriptor()));
+  watch_changes();
+  restore_snapshot();
 }
 
-void HotRestartCoordinator::watch() {
-  changes_.async_read_some(boost::asio::buffer(events_), [this](boost::system::error_code ec, std::size_t n) {
-    if (ec) return;
-    seats_changed(n);
-    watch();
-  });
+void HotRestartCoordinator::watch_changes() {
+  changes_.async_read_some(boost::asio::buffer(change_events_),
+                           [this](boost::system::error_code ec, std::size_t n) {
+                             if (ec) return;
+                             on_changes(n);
+                             watch_changes();
+                           });
 }
 
-void HotRestartCoordinator::seats_changed(std::size_t bytes) {
+void HotRestartCoordinator::on_changes(std::size_t bytes) {
   front_.look();
   const auto others = process_slots_.others();
-  if (others.empty()) return snapshot_file_.clear();
-  if (hot_restart::ProcessSlots::moved(events_.data(), bytes, hot_restart::SnapshotFile::kName)) take_state();
-  // Once for each: the file's own coming wakes us too.
+  if (others.empty()) return snapshot_file_.remove();
+  if (hot_restart::ProcessSlots::file_moved_in({change_events_.data(), bytes},
+                                               hot_restart::SnapshotFile::kName))
+    restore_snapshot();
+  // Once for each starting process: the appearance of the file wakes this process too.
   std::uint64_t newest = 0;
-  for (const hot_restart::Use& o : others) {
-    if (o.stage == Stage::starting) newest = std::max(newest, o.joined);
+  for (const hot_restart::ProcessUsage& other : others) {
+    if (other.stage == ProcessStage::starting) newest = std::max(newest, other.join_order);
   }
-  if (newest > left_for_ && broker_.ready()) {
-    left_for_ = newest;
-    leave_state();
+  if (newest > saved_for_ && broker_.ready()) {
+    saved_for_ = newest;
+    save_snapshot();
   }
 }
 
-void HotRestartCoordinator::leave_state() {
-  snapshot_file_.save(hot_restart::encode_snapshot(broker_.snapshot(), origin_, clock_.now()),
-                      [](const std::string& why) {
-                        if (!why.empty()) log::event(Level::warn, "snapshot_write_failed", {{"why", why}});
-                      });
+void HotRestartCoordinator::save_snapshot() {
+  snapshot_file_.save(
+      hot_restart::encode_snapshot(broker_.snapshot(), origin_, clock_.now()), [](const absl::Status& saved) {
+        if (saved.ok()) return;
+        log::event(Level::warn, "snapshot_write_failed", {{"why", std::string(saved.message())}});
+      });
 }
 
-void HotRestartCoordinator::take_state() {
+void HotRestartCoordinator::restore_snapshot() {
   snapshot_file_.load(hot_restart::kMaxSnapshotBytes, [this](const std::string& bytes) {
     if (bytes.empty() || broker_.phase() == core::Phase::draining) return;
-    core::Broker::ProcessSnapshot state;
-    bool same_list = false;
-    const std::string why = hot_restart::decode_snapshot(bytes, origin_, clock_.now(), state, same_list);
-    if (why == hot_restart::kWriterNotOlder) return;
-    if (!why.empty()) return log::event(Level::warn, "snapshot_rejected", {{"why", why}});
+    auto decoded = hot_restart::decode_snapshot(bytes, origin_, clock_.now());
+    if (hot_restart::is_written_by_younger_process(decoded.status())) return;
+    if (!decoded.ok()) {
+      log::event(Level::warn, "snapshot_rejected", {{"why", std::string(decoded.status().message())}});
+      return;
+    }
+    core::Broker::ProcessSnapshot& snapshot = decoded->snapshot;
     log::event(Level::info, "snapshot_restored",
                {{"bytes", bytes.size()},
-                {"list", state.version},
-                {"replicas", state.learned.replicas.size()},
-                {"prefixes", state.learned.prefixes.size()},
-                {"drains", state.retired.size()}});
-    broker_.adopt(std::move(state), same_list);
+                {"list", snapshot.version},
+                {"replicas", snapshot.learned.replicas.size()},
+                {"prefixes", snapshot.learned.prefixes.size()},
+                {"drains", snapshot.retired.size()}});
+    broker_.adopt(std::move(snapshot), decoded->same_list);
   });
 }
 
 bool HotRestartCoordinator::hand_over() {
-  for (const hot_restart::Use& o : process_slots_.others()) {
-    if (o.stage == Stage::serving) successor_ = o.seat;
+  for (const hot_restart::ProcessUsage& other : process_slots_.others()) {
+    if (other.stage == ProcessStage::serving) successor_ = other.slot;
   }
   if (!successor_) {
     log::event(Level::info, "successor_not_found",
@@ -112,27 +118,28 @@
     return false;
   }
   log::event(Level::info, "successor_selected", {{"slot", *successor_}});
-  leave_state();
-  keep_moving();
+  save_snapshot();
+  wake_regularly();
   return true;
 }
 
-void HotRestartCoordinator::keep_moving() {
-  again_.expires_after(kMoveEvery);
-  again_.async_wait([this](boost::system::error_code ec) {
-    if (!ec && successor_) keep_moving();
+void HotRestartCoordinator::wake_regularly() {
+  wake_timer_.expires_after(kMigrationPeriod);
+  wake_timer_.async_wait([this](boost::system::error_code ec) {
+    if (!ec && successor_) wake_regularly();
   });
 }
 
-void HotRestartCoordinator::idle() {
+void HotRestartCoordinator::migrate_streams() {
   if (!successor_) return;
   stream_migration_.out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
-    const DescriptorPassing::Sent sent = DescriptorPassing::send(folder_, *successor_, bytes, descriptors);
-    if (sent == DescriptorPassing::Sent::never) {
+    const DescriptorPassing::SendResult result =
+        DescriptorPassing::send(folder_, *successor_, bytes, descriptors);
+    if (result == DescriptorPassing::SendResult::no_receiver) {
       log::event(Level::warn, "successor_lost", {{"slot", *successor_}, {"answers", "end here"}});
       successor_.reset();
     }
-    return sent == DescriptorPassing::Sent::yes;
+    return result == DescriptorPassing::SendResult::sent;
   });
 }
 
--- a/src/commands/hot_restart_coordinator.h
+++ b/src/commands/hot_restart_coordinator.h
@@ -1,5 +1,6 @@
-// How one process of a router follows another: wires seats, passage and shelf to the core and the HTTP side.
-// What each process may hold, and when anything goes, is decided by handover and http::Moves.
+// Hot restart of a router: connects the process slots, the descriptor passing and the snapshot file with the
+// core and the HTTP side. What each process may hold is decided by hot_restart/limit_partition, and which
+// streams can migrate by http::StreamMigration. One thread, the loop's.
 #pragma once
 
 #include <array>
@@ -21,25 +22,26 @@
 
 class HotRestartCoordinator {
  public:
-  // For a process that has a seat.
+  // For a process that has a slot.
   HotRestartCoordinator(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker,
                         http::HttpServer& front, http::HttpReplicaClient& replicas,
-                        hot_restart::ProcessSlots& seats, const config::Config& config);
+                        hot_restart::ProcessSlots& slots, const config::Config& config);
 
   void start();
-  // SIGTERM: what is known and the answers that run go to the process that serves from now on. False: there
-  // is none.
+  // On SIGTERM: leaves a snapshot and begins to migrate streams to the process that serves from now on.
+  // False: there is none.
   bool hand_over();
-  // Once a turn, when no handler of the loop waits to run.
-  void idle();
-  void discovery(const config::HostPort& at) { origin_.discovery = config::host_port(at.host, at.port); }
+  // Migrates the streams that can go now. Once an iteration, when no handler of the loop waits to run.
+  void migrate_streams();
+  // The endpoint list comes from there from now on.
+  void set_discovery(const config::HostPort& at) { origin_.discovery = config::host_port(at.host, at.port); }
 
  private:
-  void watch();
-  void seats_changed(std::size_t bytes);
-  void leave_state();
-  void take_state();
-  void keep_moving();
+  void watch_changes();
+  void on_changes(std::size_t bytes);
+  void save_snapshot();
+  void restore_snapshot();
+  void wake_regularly();
 
   core::Clock& clock_;
   core::Broker& broker_;
@@ -50,11 +52,12 @@
   http::StreamMigration stream_migration_;
   hot_restart::DescriptorPassing descriptor_passing_;
   hot_restart::SnapshotFile snapshot_file_;
-  std::uint64_t left_for_ = 0;            // the newest of those that start and have been left what we know
-  std::optional<std::size_t> successor_;  // the seat of the process that gets our answers
-  boost::asio::steady_timer again_;
+  std::uint64_t saved_for_ =
+      0;  // the join order of the newest starting process that a snapshot was saved for
+  std::optional<std::size_t> successor_;  // the slot of the process that our streams go to
+  boost::asio::steady_timer wake_timer_;
   boost::asio::posix::stream_descriptor changes_;
-  std::array<char, 4096> events_{};
+  std::array<char, 4096> change_events_{};
 };
 
 }  // namespace flintglade::commands
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -170,30 +170,31 @@
   const http::HttpReplicaClient* replicas = nullptr;
   const core::Broker* core = nullptr;
   // Processes that share the clients' socket share the router's limits as well.
-  const hot_restart::Part whole{config.sockets, (config.memory_mb << 20) / 4};
-  hot_restart::ProcessSlots seats;
+  const hot_restart::ProcessLimits whole{config.sockets, (config.memory_mb << 20) / 4};
+  hot_restart::ProcessSlots process_slots;
   if (config.accept_fd >= 0) {
-    const std::string why = seats.join(config.scratch, config.name);
-    if (!why.empty())
-      log::event(Level::warn, "process_slot_unavailable", {{"why", why}, {"limits", "as if alone"}});
+    const absl::Status joined = process_slots.join(config.scratch, config.name);
+    if (!joined.ok())
+      log::event(Level::warn, "process_slot_unavailable",
+                 {{"why", std::string(joined.message())}, {"limits", "as if alone"}});
   }
   const auto use = [&] {
-    hot_restart::Use out{hot_restart::Stage::starting, reserved, 0};
+    hot_restart::ProcessUsage out{hot_restart::ProcessStage::starting, reserved, 0};
     if (core != nullptr && core->phase() != core::Phase::starting)
-      out.stage = core->ready() ? hot_restart::Stage::serving : hot_restart::Stage::draining;
-    out.sockets +=
+      out.stage = core->ready() ? hot_restart::ProcessStage::serving : hot_restart::ProcessStage::draining;
+    out.descriptors +=
         (front != nullptr ? front->connections() : 0) + (replicas != nullptr ? replicas->connections() : 0);
-    if (core != nullptr) out.bodies = core->body_bytes();
+    if (core != nullptr) out.body_bytes = core->body_bytes();
     return out;
   };
   const auto mine = [&] {
-    if (!seats.has_slot()) return whole;
-    const hot_restart::Use now = use();
-    seats.publish(now);
-    return hot_restart::part(whole, now, seats.others());
+    if (!process_slots.has_slot()) return whole;
+    const hot_restart::ProcessUsage now = use();
+    process_slots.publish(now);
+    return hot_restart::partition_limits(whole, now, process_slots.others());
   };
   const auto shared = [&mine, reserved] {
-    const std::size_t sockets = mine().sockets;
+    const std::size_t sockets = mine().descriptors;
     return sockets - std::min(sockets, reserved);
   };
   const auto replica_part = [](std::size_t of) {
@@ -208,7 +209,7 @@
   settings.cancel_hold = static_cast<Micros>(file.calls().cancel_hold_s() * 1e6);
   if (!config.module.resume) settings.stall_timeout = kLongestGap;
   settings.drain_limit = std::min(settings.drain_limit, longest(config.module) + 400 * core::kMilli);
-  settings.body_budget = whole.bodies;
+  settings.body_budget = whole.body_bytes;
   std::unique_ptr<endpoint_sources::EndpointSources> sources;
   if (file.has_membership())
     sources = std::make_unique<endpoint_sources::EndpointSources>(io, clock, watch, file.membership(), specs);
@@ -248,8 +249,9 @@
   http_front.on_exhausted([&http_subchannels] { return http_subchannels.shed_idle(); });
   // One inherited socket may have two processes at it: one that starts leaves its queue to the one that
   // serves.
-  const auto open = [&broker, &seats] {
-    return broker.phase() != core::Phase::starting || (seats.has_slot() && seats.others().empty());
+  const auto open = [&broker, &process_slots] {
+    return broker.phase() != core::Phase::starting ||
+           (process_slots.has_slot() && process_slots.others().empty());
   };
   error =
       config.accept_fd >= 0 ? http_front.listen(config.accept_fd, open) : http_front.listen(config.listen);
@@ -339,7 +341,8 @@
   }
 
   std::optional<HotRestartCoordinator> handoff;
-  if (seats.has_slot()) handoff.emplace(io, clock, broker, http_front, http_subchannels, seats, config);
+  if (process_slots.has_slot())
+    handoff.emplace(io, clock, broker, http_front, http_subchannels, process_slots, config);
 
   const auto print_counters = [&] {
     std::vector<log::Field> fields{{"phase", core::to_string(broker.phase())}};
@@ -400,7 +403,7 @@
       sources->reload(fresh_file.membership(), std::move(fresh_specs));
     watch.move(fresh.discovery);
     if (fleet_member) fleet_member->moved(fresh.discovery);
-    if (handoff) handoff->discovery(fresh.discovery);
+    if (handoff) handoff->set_discovery(fresh.discovery);
     const bool all = fresh.fixed == config.fixed &&
                      operator_file::fixed_part(fresh_file) == operator_file::fixed_part(file);
     log::event(Level::info, "reloaded",
@@ -443,8 +446,9 @@
   run(
       io, broker,
       [&](bool idle) {
-        if (seats.has_slot()) broker.body_budget(mine().bodies);  // and the others see what this process uses
-        if (idle && handoff) handoff->idle();
+        if (process_slots.has_slot())
+          broker.body_budget(mine().body_bytes);  // and the others see what this process uses
+        if (idle && handoff) handoff->migrate_streams();
         if (broker.phase() != core::Phase::draining) return;
         broker.set_partially_read_requests(http_front.partially_read_requests());
         if (!broker.accepts_requests()) http_front.refuse_half_read();
--- a/src/hot_restart/descriptor_passing.cpp
+++ b/src/hot_restart/descriptor_passing.cpp
@@ -6,17 +6,22 @@
 
 #include <cerrno>
 #include <cstring>
+#include <utility>
+
+#include "net/unique_fd.h"
 
 namespace flintglade::hot_restart {
 namespace {
 
-constexpr std::size_t kMostBytes = 96u << 10;  // what a socket's usual buffer takes, with room to spare
+constexpr std::size_t kMaxBytes = 96u << 10;    // fits the usual buffer of a datagram socket
+constexpr std::size_t kMaxDescriptorsRead = 8;  // more than are ever sent: none may stay open unseen
 
-std::string path_of(const std::string& folder, std::size_t seat) {
-  return folder + "/flintglade.v1." + std::to_string(seat) + ".sock";
+std::string socket_path(const std::string& folder, std::size_t slot) {
+  return folder + "/flintglade.v1." + std::to_string(slot) + ".sock";
 }
 
-bool address_of(const std::string& path, sockaddr_un& out) {
+// False: the path is too long for a socket's address.
+bool make_address(const std::string& path, sockaddr_un& out) {
   out = {};
   out.sun_family = AF_UNIX;
   if (path.size() >= sizeof out.sun_path) return false;
@@ -24,42 +29,73 @@
   return true;
 }
 
+net::UniqueFd datagram_socket() {
+  return net::UniqueFd(::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+}
+
+absl::Status system_error(const std::string& path) {
+  return absl::UnavailableError(path + ": " + std::strerror(errno));
+}
+
+// A message of one buffer with room for descriptors.
 struct Message {
   explicit Message(std::size_t descriptors) {
-    header.msg_iov = &part;
+    header.msg_iov = &buffer;
     header.msg_iovlen = 1;
     header.msg_control = control;
     header.msg_controllen = CMSG_SPACE(descriptors * sizeof(int));
   }
-  iovec part{};
-  alignas(cmsghdr) char control[CMSG_SPACE(8 * sizeof(int))] = {};
+  iovec buffer{};
+  alignas(cmsghdr) char control[CMSG_SPACE(kMaxDescriptorsRead * sizeof(int))] = {};
   msghdr header{};
 };
 
+std::vector<net::UniqueFd> descriptors_in(msghdr& header) {
+  std::vector<net::UniqueFd> out;
+  for (cmsghdr* control = CMSG_FIRSTHDR(&header); control != nullptr;
+       control = CMSG_NXTHDR(&header, control)) {
+    if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS) continue;
+    for (std::size_t at = CMSG_LEN(0); at + sizeof(int) <= control->cmsg_len; at += sizeof(int)) {
+      int fd = -1;
+      std::memcpy(&fd, reinterpret_cast<const char*>(control) + at, sizeof fd);
+      out.emplace_back(fd);
+    }
+  }
+  return out;
+}
+
+void attach_descriptors(msghdr& header, const DescriptorPassing::Descriptors& descriptors) {
+  cmsghdr* control = CMSG_FIRSTHDR(&header);
+  control->cmsg_level = SOL_SOCKET;
+  control->cmsg_type = SCM_RIGHTS;
+  control->cmsg_len = CMSG_LEN(sizeof descriptors);
+  std::memcpy(CMSG_DATA(control), descriptors.data(), sizeof descriptors);
+}
+
 }  // namespace
 
 DescriptorPassing::~DescriptorPassing() {
   if (!path_.empty()) ::unlink(path_.c_str());
 }
 
-std::string DescriptorPassing::open(const std::string& folder, std::size_t seat, Take take) {
-  const std::string path = path_of(folder, seat);
-  sockaddr_un at;
-  if (!address_of(path, at)) return path + " is too long for a socket's name";
-  const int fd = ::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  if (fd < 0) return path + ": " + std::strerror(errno);
-  ::unlink(path.c_str());  // the seat is ours: what stands there is a dead one's
-  if (::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
-    const std::string why = path + ": " + std::strerror(errno);
-    ::close(fd);
-    return why;
+absl::Status DescriptorPassing::listen(const std::string& folder, std::size_t slot, OnReceived on_received) {
+  const std::string path = socket_path(folder, slot);
+  sockaddr_un address;
+  if (!make_address(path, address)) {
+    return absl::InvalidArgumentError(path + " is too long for a socket's name");
+  }
+  net::UniqueFd socket = datagram_socket();
+  if (!socket) return system_error(path);
+  ::unlink(path.c_str());  // the slot is ours: what stands there is a dead process's
+  if (::bind(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+    return system_error(path);
   }
   path_ = path;
-  take_ = std::move(take);
-  bytes_.resize(kMostBytes);
-  socket_.assign(fd);
+  on_received_ = std::move(on_received);
+  buffer_.resize(kMaxBytes);
+  socket_.assign(socket.release());
   wait();
-  return "";
+  return absl::OkStatus();
 }
 
 void DescriptorPassing::wait() {
@@ -72,47 +108,34 @@
 
 void DescriptorPassing::receive() {
   for (;;) {
-    Message m(8);
-    m.part = {bytes_.data(), bytes_.size()};
-    const ssize_t n = ::recvmsg(socket_.native_handle(), &m.header, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
-    if (n < 0) return;
-    std::vector<int> got;
-    for (cmsghdr* c = CMSG_FIRSTHDR(&m.header); c != nullptr; c = CMSG_NXTHDR(&m.header, c)) {
-      if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
-      for (std::size_t at = CMSG_LEN(0); at + sizeof(int) <= c->cmsg_len; at += sizeof(int)) {
-        int fd = -1;
-        std::memcpy(&fd, reinterpret_cast<const char*>(c) + at, sizeof fd);
-        got.push_back(fd);
-      }
-    }
-    if (got.size() == 2 && (m.header.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) == 0) {
-      take_({bytes_.data(), static_cast<std::size_t>(n)}, {got[0], got[1]});
-      continue;
-    }
-    for (const int fd : got) ::close(fd);
+    Message message(kMaxDescriptorsRead);
+    message.buffer = {buffer_.data(), buffer_.size()};
+    const ssize_t size = ::recvmsg(socket_.native_handle(), &message.header, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
+    if (size < 0) return;
+    std::vector<net::UniqueFd> descriptors = descriptors_in(message.header);
+    const bool truncated = (message.header.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0;
+    if (descriptors.size() != std::tuple_size_v<Descriptors> || truncated) continue;
+    on_received_({buffer_.data(), static_cast<std::size_t>(size)},
+                 {descriptors[0].release(), descriptors[1].release()});
   }
 }
 
-DescriptorPassing::Sent DescriptorPassing::send(const std::string& folder, std::size_t seat,
-                                                std::string_view bytes, Descriptors descriptors) {
-  sockaddr_un at;
-  if (bytes.size() > kMostBytes || !address_of(path_of(folder, seat), at)) return Sent::never;
-  const int fd = ::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  if (fd < 0) return Sent::later;
-  Message m(descriptors.size());
-  m.part = {const_cast<char*>(bytes.data()), bytes.size()};
-  m.header.msg_name = &at;
-  m.header.msg_namelen = sizeof at;
-  cmsghdr* c = CMSG_FIRSTHDR(&m.header);
-  c->cmsg_level = SOL_SOCKET;
-  c->cmsg_type = SCM_RIGHTS;
-  c->cmsg_len = CMSG_LEN(sizeof descriptors);
-  std::memcpy(CMSG_DATA(c), descriptors.data(), sizeof descriptors);
-  const ssize_t n = ::sendmsg(fd, &m.header, MSG_DONTWAIT | MSG_NOSIGNAL);
-  const int why = errno;
-  ::close(fd);
-  if (n < 0) return why == EAGAIN || why == EINTR || why == ENOBUFS ? Sent::later : Sent::never;
-  return Sent::yes;
+DescriptorPassing::SendResult DescriptorPassing::send(const std::string& folder, std::size_t slot,
+                                                      std::string_view bytes, Descriptors descriptors) {
+  sockaddr_un address;
+  if (bytes.size() > kMaxBytes || !make_address(socket_path(folder, slot), address)) {
+    return SendResult::no_receiver;
+  }
+  const net::UniqueFd socket = datagram_socket();
+  if (!socket) return SendResult::queue_full;
+  Message message(descriptors.size());
+  message.buffer = {const_cast<char*>(bytes.data()), bytes.size()};
+  message.header.msg_name = &address;
+  message.header.msg_namelen = sizeof address;
+  attach_descriptors(message.header, descriptors);
+  if (::sendmsg(socket.get(), &message.header, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0) return SendResult::sent;
+  const bool temporary = errno == EAGAIN || errno == EINTR || errno == ENOBUFS;
+  return temporary ? SendResult::queue_full : SendResult::no_receiver;
 }
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/limit_partition.cpp
+++ b/src/hot_restart/limit_partition.cpp
@@ -5,26 +5,35 @@
 namespace flintglade::hot_restart {
 namespace {
 
-std::size_t left(std::size_t whole, std::size_t taken) { return whole - std::min(whole, taken); }
+std::size_t remaining(std::size_t limit, std::size_t used) { return limit - std::min(limit, used); }
+
+// What a starting process is about to take is counted before it has it.
+std::size_t expected_descriptors(const ProcessUsage& usage) {
+  const bool starting = usage.stage == ProcessStage::starting;
+  const std::size_t used =
+      starting ? std::max(usage.descriptors, kStartReserveDescriptors) : usage.descriptors;
+  return used + kUsageSlackDescriptors;
+}
 
 }  // namespace
 
-Part part(const Part& whole, const Use& self, std::span<const Use> others) {
-  if (others.empty()) return {left(whole.sockets, kStart), whole.bodies};
-  std::size_t sockets = 0, bodies = 0;
-  bool newcomer = false;
-  for (const Use& other : others) {
-    // What it is about to take for its start is counted before it has it.
-    sockets += (other.stage == Stage::starting ? std::max(other.sockets, kStart) : other.sockets) + kSlack;
-    bodies += other.bodies;
-    newcomer = newcomer || other.stage == Stage::starting;
+ProcessLimits partition_limits(const ProcessLimits& router, const ProcessUsage& self,
+                               std::span<const ProcessUsage> others) {
+  if (others.empty()) return {remaining(router.descriptors, kStartReserveDescriptors), router.body_bytes};
+  ProcessLimits used;
+  bool one_starts = false;
+  for (const ProcessUsage& other : others) {
+    used.descriptors += expected_descriptors(other);
+    used.body_bytes += other.body_bytes;
+    one_starts = one_starts || other.stage == ProcessStage::starting;
   }
-  Part out{left(whole.sockets, sockets), left(whole.bodies, bodies)};
-  if (self.stage == Stage::serving && newcomer) {
-    out.sockets = std::min(out.sockets, whole.sockets / 2);
-    out.bodies = std::min(out.bodies, whole.bodies / 2);
+  ProcessLimits limits{remaining(router.descriptors, used.descriptors),
+                       remaining(router.body_bytes, used.body_bytes)};
+  if (self.stage == ProcessStage::serving && one_starts) {
+    limits.descriptors = std::min(limits.descriptors, router.descriptors / 2);
+    limits.body_bytes = std::min(limits.body_bytes, router.body_bytes / 2);
   }
-  return out;
+  return limits;
 }
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/limit_partition.h
+++ b/src/hot_restart/limit_partition.h
@@ -1,7 +1,7 @@
-// How processes of one router share one budget. Pure: no clock, no I/O.
+// How processes of one router share its limits on descriptors and memory during a hot restart.
 //
-// During an upgrade two processes (three, if one starts while two run) stand for one router, and the limits
-// on descriptors and memory see one. Each publishes what it uses and reads what the others use.
+// Two processes (three, if one starts while two run) stand for one router, and the operator's limits see one.
+// Each publishes what it uses (process_slots.h) and reads what the others use. No clock, no I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,29 +10,33 @@
 
 namespace flintglade::hot_restart {
 
-enum class Stage : std::uint32_t { starting = 0, serving = 1, draining = 2 };
+// The values are stored in the process slots' file.
+enum class ProcessStage : std::uint32_t { starting = 0, serving = 1, draining = 2 };
 
-struct Use {
-  Stage stage = Stage::starting;
-  std::size_t sockets = 0;  // descriptors held
-  std::size_t bodies = 0;   // bytes of request bodies held
-  std::size_t seat = 0;
-  std::uint64_t joined = 0;  // which of those that ever took a seat it is: later ones have higher numbers
+struct ProcessUsage {
+  ProcessStage stage = ProcessStage::starting;
+  std::size_t descriptors = 0;
+  std::size_t body_bytes = 0;    // of request bodies
+  std::size_t slot = 0;          // of the process
+  std::uint64_t join_order = 0;  // among all that ever took a slot: later ones have higher numbers
 };
 
-struct Part {
-  std::size_t sockets = 0, bodies = 0;
+struct ProcessLimits {
+  std::size_t descriptors = 0;
+  std::size_t body_bytes = 0;
 };
 
-// Descriptors that one process always leaves free, so that another one may start beside it: its loop,
+// Descriptors that a process always leaves free, so that another one can start beside it: its loop, its
 // listeners and the watch take 14.
-inline constexpr std::size_t kStart = 24;
-// And for each other process, what it may have taken between its last word and our look at it.
-inline constexpr std::size_t kSlack = 8;
-
-// What this process may hold at present. whole: the router's limits. Where nobody else is there: all but
-// kStart. Otherwise what the others leave; a process beside which one starts gives way to half, so that the
-// new one finds room when it serves; one that drains takes up no more than it has, and no less.
-Part part(const Part& whole, const Use& self, std::span<const Use> others);
+inline constexpr std::size_t kStartReserveDescriptors = 24;
+// And for each other process, what it may have taken since it published its usage.
+inline constexpr std::size_t kUsageSlackDescriptors = 8;
+
+// What this process may hold now. router: the limits of the whole router. A process that is alone may hold
+// all but kStartReserveDescriptors; otherwise, what the others leave. A serving process beside which one
+// starts gives way to half, so that the new one finds room when it serves; a draining one takes up no more
+// than it has, and no less.
+ProcessLimits partition_limits(const ProcessLimits& router, const ProcessUsage& self,
+                               std::span<const ProcessUsage> others);
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/process_slots.cpp
+++ b/src/hot_restart/process_slots.cpp
@@ -17,11 +17,16 @@
 namespace flintglade::hot_restart {
 namespace {
 
+constexpr char kFileName[] = "/flintglade.seats";
 constexpr std::uint32_t kMagic = 0x73746673, kVersion = 1;
-constexpr off_t kSeatLocks = 1 << 20;  // beyond any page, whatever its version: just names
-constexpr off_t kDoor = kSeatLocks + ProcessSlots::kMaxProcesses;
-
-struct flock lock_of(off_t at, short type) {
+// Locked bytes lie beyond any page, whatever its version: they are names, not data. One for each slot, and
+// the door, which is held while a process looks at the form and takes a slot.
+constexpr off_t kSlotLocks = 1 << 20;
+constexpr off_t kDoorLock = kSlotLocks + ProcessSlots::kMaxProcesses;
+constexpr int kDoorAttempts = 50;
+constexpr useconds_t kDoorRetryMicros = 2000;
+
+struct flock lock_at(off_t at, short type) {
   struct flock lock {};
   lock.l_type = type;
   lock.l_whence = SEEK_SET;
@@ -30,132 +35,185 @@
   return lock;
 }
 
-std::string failed(const std::string& what) { return what + ": " + std::strerror(errno); }
+absl::Status system_error(const std::string& path) {
+  return absl::UnavailableError(path + ": " + std::strerror(errno));
+}
+
+ProcessStage stage_of(std::uint32_t stored) {
+  switch (stored) {
+    case static_cast<std::uint32_t>(ProcessStage::serving):
+      return ProcessStage::serving;
+    case static_cast<std::uint32_t>(ProcessStage::draining):
+      return ProcessStage::draining;
+    default:
+      return ProcessStage::starting;
+  }
+}
 
 }  // namespace
 
-struct alignas(64) ProcessSlots::ProcessSlot {
+// The layouts are stored: other processes read them.
+struct alignas(64) ProcessSlots::Slot {
   std::atomic<std::uint32_t> taken, stage;
-  std::atomic<std::uint64_t> sockets, bodies, joined;
+  std::atomic<std::uint64_t> descriptors, body_bytes, join_order;
 };
 
 struct ProcessSlots::Page {
   std::uint32_t magic, version;
   std::uint64_t router;
-  ProcessSlot seats[kMaxProcesses];
+  Slot slots[kMaxProcesses];
 };
 
 ProcessSlots::~ProcessSlots() {
-  if (has_slot()) page_->seats[mine_].taken = 0;
-  if (notify_ >= 0) ::close(notify_);
-  leave();
+  if (has_slot()) page_->slots[own_slot_].taken = 0;
+  release();
 }
 
-// Locks belong to the open file, not to the process: one that closes another descriptor of it keeps them.
-bool ProcessSlots::held(std::size_t seat) const {
-  struct flock lock = lock_of(kSeatLocks + static_cast<off_t>(seat), F_WRLCK);
-  return ::fcntl(file_, F_OFD_GETLK, &lock) != 0 || lock.l_type != F_UNLCK;
+// Locks go with the open file, which a mapping holds open too: a process without a slot keeps nobody from
+// theirs.
+void ProcessSlots::release() {
+  if (page_ != nullptr) ::munmap(std::exchange(page_, nullptr), sizeof(Page));
+  file_.reset();
 }
 
-std::string ProcessSlots::join(const std::string& folder, const std::string& router) {
-  if (folder.empty()) return "TMPDIR names no folder";
-  const std::string path = folder + "/flintglade.seats";
-  file_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (file_ < 0) return failed(path);
-  const std::string why = take_seat(folder, path, router);
-  if (!why.empty()) leave();
-  return why;
+// Locks belong to the open file, not to the process: closing another descriptor of the file does not release
+// them.
+bool ProcessSlots::is_held(std::size_t slot) const {
+  struct flock lock = lock_at(kSlotLocks + static_cast<off_t>(slot), F_WRLCK);
+  return ::fcntl(file_.get(), F_OFD_GETLK, &lock) != 0 || lock.l_type != F_UNLCK;
 }
 
-// Locks go with the open file, which a mapping holds open too: who found no seat keeps nobody from theirs.
-void ProcessSlots::leave() {
-  if (page_ != nullptr) ::munmap(std::exchange(page_, nullptr), sizeof(Page));
-  if (file_ >= 0) ::close(std::exchange(file_, -1));
+bool ProcessSlots::any_held() const {
+  bool any = false;
+  for (std::size_t slot = 0; slot < kMaxProcesses; ++slot) any = any || is_held(slot);
+  return any;
 }
 
-std::string ProcessSlots::take_seat(const std::string& folder, const std::string& path,
-                                    const std::string& router) {
-  // One at a time looks at the form and takes a seat; nobody holds this lock for longer than that.
-  struct flock door = lock_of(kDoor, F_WRLCK);
-  for (int i = 0; ::fcntl(file_, F_OFD_SETLK, &door) != 0; ++i) {
-    if (i == 50) return path + " is locked";
-    ::usleep(2000);
+absl::Status ProcessSlots::join(const std::string& folder, const std::string& router) {
+  if (folder.empty()) return absl::FailedPreconditionError("TMPDIR names no folder");
+  const std::string path = folder + kFileName;
+  file_.reset(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+  if (!file_) return system_error(path);
+  const absl::Status taken = take_slot(folder, path, router);
+  if (!taken.ok()) release();
+  return taken;
+}
+
+absl::Status ProcessSlots::lock_door(const std::string& path) const {
+  struct flock door = lock_at(kDoorLock, F_WRLCK);
+  for (int attempt = 0; ::fcntl(file_.get(), F_OFD_SETLK, &door) != 0; ++attempt) {
+    if (attempt == kDoorAttempts) return absl::UnavailableError(path + " is locked");
+    ::usleep(kDoorRetryMicros);
   }
-  bool anybody = false;
-  for (std::size_t i = 0; i < kMaxProcesses; ++i) anybody = anybody || held(i);
+  return absl::OkStatus();
+}
+
+void ProcessSlots::unlock_door() const {
+  struct flock door = lock_at(kDoorLock, F_UNLCK);
+  ::fcntl(file_.get(), F_OFD_SETLK, &door);
+}
+
+// Where it fails, the door is released with the file.
+absl::Status ProcessSlots::take_slot(const std::string& folder, const std::string& path,
+                                     const std::string& router) {
+  if (absl::Status locked = lock_door(path); !locked.ok()) return locked;
+  if (absl::Status mapped = map_page(path, router); !mapped.ok()) return mapped;
+  if (!lock_free_slot()) return absl::ResourceExhaustedError(path + ": every seat is taken");
+  initialize_slot();
+  watch_changes(folder, path);
+  unlock_door();
+  // The others are woken by the file being opened, and when it was opened first the slot was not taken yet.
+  net::UniqueFd(::open(path.c_str(), O_RDWR | O_CLOEXEC)).reset();
+  return absl::OkStatus();
+}
+
+absl::Status ProcessSlots::map_page(const std::string& path, const std::string& router) {
+  const bool in_use = any_held();
   struct stat info {};
-  const bool sized = ::fstat(file_, &info) == 0 && info.st_size == static_cast<off_t>(sizeof(Page));
-  if (!sized && anybody) return path + " is in use in another form";
-  if (!sized && (::ftruncate(file_, 0) != 0 || ::ftruncate(file_, sizeof(Page)) != 0)) return failed(path);
-  void* at = ::mmap(nullptr, sizeof(Page), PROT_READ | PROT_WRITE, MAP_SHARED, file_, 0);
-  if (at == MAP_FAILED) return failed(path);
-  page_ = static_cast<Page*>(at);
-  const std::uint64_t name = config::hash_name(router);
-  if (page_->magic != kMagic || page_->version != kVersion || page_->router != name) {
-    if (anybody) return path + " is in use in another form, or for another router";
-    std::memset(at, 0, sizeof(Page));
-    page_->magic = kMagic;
-    page_->version = kVersion;
-    page_->router = name;
+  const bool sized = ::fstat(file_.get(), &info) == 0 && info.st_size == static_cast<off_t>(sizeof(Page));
+  if (!sized && in_use) return absl::FailedPreconditionError(path + " is in use in another form");
+  if (!sized && (::ftruncate(file_.get(), 0) != 0 || ::ftruncate(file_.get(), sizeof(Page)) != 0)) {
+    return system_error(path);
+  }
+  void* mapped = ::mmap(nullptr, sizeof(Page), PROT_READ | PROT_WRITE, MAP_SHARED, file_.get(), 0);
+  if (mapped == MAP_FAILED) return system_error(path);
+  page_ = static_cast<Page*>(mapped);
+  const std::uint64_t router_hash = config::hash_name(router);
+  if (page_->magic == kMagic && page_->version == kVersion && page_->router == router_hash) {
+    return absl::OkStatus();
   }
-  for (std::size_t i = 0; i < kMaxProcesses && !has_slot(); ++i) {
-    struct flock lock = lock_of(kSeatLocks + static_cast<off_t>(i), F_WRLCK);
-    if (::fcntl(file_, F_OFD_SETLK, &lock) != 0) continue;
-    mine_ = static_cast<int>(i);
+  if (in_use) {
+    return absl::FailedPreconditionError(path + " is in use in another form, or for another router");
   }
-  if (!has_slot()) return path + ": every seat is taken";
-  for (std::size_t i = 0; i < kMaxProcesses; ++i) {
-    if (!held(i)) page_->seats[i].taken = 0;  // of the dead; while they are, each look asks the kernel
+  std::memset(mapped, 0, sizeof(Page));
+  page_->magic = kMagic;
+  page_->version = kVersion;
+  page_->router = router_hash;
+  return absl::OkStatus();
+}
+
+bool ProcessSlots::lock_free_slot() {
+  for (std::size_t slot = 0; slot < kMaxProcesses; ++slot) {
+    struct flock lock = lock_at(kSlotLocks + static_cast<off_t>(slot), F_WRLCK);
+    if (::fcntl(file_.get(), F_OFD_SETLK, &lock) != 0) continue;
+    own_slot_ = static_cast<int>(slot);
+    return true;
+  }
+  return false;
+}
+
+void ProcessSlots::initialize_slot() {
+  // Slots of the dead are freed: as long as they look taken, others() asks the kernel for each.
+  for (std::size_t slot = 0; slot < kMaxProcesses; ++slot) {
+    if (!is_held(slot)) page_->slots[slot].taken = 0;
   }
   publish({});
   std::uint64_t last = 0;
-  for (const ProcessSlot& seat : page_->seats) last = std::max(last, seat.joined.load());
-  page_->seats[mine_].joined = last + 1;
-  page_->seats[mine_].taken = 1;
-  notify_ = ::inotify_init1(IN_NONBLOCK | IN_CLOEXEC);
-  if (notify_ >= 0) {
-    ::inotify_add_watch(notify_, path.c_str(), IN_OPEN | IN_CLOSE_WRITE);
-    ::inotify_add_watch(notify_, folder.c_str(), IN_MOVED_TO);
-  }
-  door.l_type = F_UNLCK;
-  ::fcntl(file_, F_OFD_SETLK, &door);
-  // The others saw the file being opened when the seat was not taken yet.
-  if (const int again = ::open(path.c_str(), O_RDWR | O_CLOEXEC); again >= 0) ::close(again);
-  return "";
+  for (const Slot& slot : page_->slots) last = std::max(last, slot.join_order.load());
+  page_->slots[own_slot_].join_order = last + 1;
+  page_->slots[own_slot_].taken = 1;
+}
+
+void ProcessSlots::watch_changes(const std::string& folder, const std::string& path) {
+  change_descriptor_.reset(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC));
+  if (!change_descriptor_) return;
+  ::inotify_add_watch(change_descriptor_.get(), path.c_str(), IN_OPEN | IN_CLOSE_WRITE);
+  ::inotify_add_watch(change_descriptor_.get(), folder.c_str(), IN_MOVED_TO);
 }
 
-bool ProcessSlots::moved(const char* events, std::size_t size, const std::string& name) {
-  for (std::size_t at = 0; at + sizeof(inotify_event) <= size;) {
+bool ProcessSlots::file_moved_in(std::string_view events, std::string_view name) {
+  for (std::size_t at = 0; at + sizeof(inotify_event) <= events.size();) {
     inotify_event event;
-    std::memcpy(&event, events + at, sizeof event);
+    std::memcpy(&event, events.data() + at, sizeof event);
     at += sizeof event + event.len;
-    if (at <= size && (event.mask & IN_MOVED_TO) != 0 && name == events + at - event.len) return true;
+    if (at > events.size() || (event.mask & IN_MOVED_TO) == 0) continue;
+    if (name == events.data() + at - event.len) return true;  // the name is padded with zeros
   }
   return false;
 }
 
-void ProcessSlots::publish(const Use& use) {
+void ProcessSlots::publish(const ProcessUsage& usage) {
   if (!has_slot()) return;
-  ProcessSlot& seat = page_->seats[mine_];
-  seat.sockets.store(use.sockets, std::memory_order_relaxed);
-  seat.bodies.store(use.bodies, std::memory_order_relaxed);
-  seat.stage.store(static_cast<std::uint32_t>(use.stage), std::memory_order_release);
-}
-
-std::vector<Use> ProcessSlots::others() const {
-  std::vector<Use> out;
-  for (std::size_t i = 0; has_slot() && i < kMaxProcesses; ++i) {
-    ProcessSlot& seat = page_->seats[i];
-    if (static_cast<int>(i) == mine_ || seat.taken.load(std::memory_order_acquire) == 0) continue;
-    if (!held(i)) continue;
-    const std::uint32_t stage = seat.stage.load(std::memory_order_acquire);
-    out.push_back({stage == 1   ? Stage::serving
-                   : stage == 2 ? Stage::draining
-                                : Stage::starting,
-                   seat.sockets.load(std::memory_order_relaxed), seat.bodies.load(std::memory_order_relaxed),
-                   i, seat.joined.load(std::memory_order_relaxed)});
+  Slot& slot = page_->slots[own_slot_];
+  slot.descriptors.store(usage.descriptors, std::memory_order_relaxed);
+  slot.body_bytes.store(usage.body_bytes, std::memory_order_relaxed);
+  slot.stage.store(static_cast<std::uint32_t>(usage.stage), std::memory_order_release);
+}
+
+std::vector<ProcessUsage> ProcessSlots::others() const {
+  std::vector<ProcessUsage> usages;
+  for (std::size_t index = 0; has_slot() && index < kMaxProcesses; ++index) {
+    const Slot& slot = page_->slots[index];
+    if (static_cast<int>(index) == own_slot_ || slot.taken.load(std::memory_order_acquire) == 0) continue;
+    if (!is_held(index)) continue;
+    ProcessUsage& usage = usages.emplace_back();
+    usage.stage = stage_of(slot.stage.load(std::memory_order_acquire));
+    usage.descriptors = slot.descriptors.load(std::memory_order_relaxed);
+    usage.body_bytes = slot.body_bytes.load(std::memory_order_relaxed);
+    usage.slot = index;
+    usage.join_order = slot.join_order.load(std::memory_order_relaxed);
   }
-  return out;
+  return usages;
 }
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/snapshot_file.cpp
+++ b/src/hot_restart/snapshot_file.cpp
@@ -3,63 +3,78 @@
 #include <fcntl.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
 #include <utility>
 
+#include "net/unique_fd.h"
+
 namespace flintglade::hot_restart {
 namespace {
 
-std::string write_file(const std::string& draft, const std::string& path, const std::string& bytes) {
-  const int fd = ::open(draft.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  bool good = fd >= 0;
-  for (std::size_t at = 0; good && at < bytes.size();) {
-    const ssize_t n = ::write(fd, bytes.data() + at, bytes.size() - at);
-    if (n < 0 && errno == EINTR) continue;
-    good = n > 0;
-    at += good ? static_cast<std::size_t>(n) : 0;
+constexpr std::size_t kReadBytes = 16384;
+
+absl::Status system_error(const std::string& path) {
+  return absl::UnavailableError(path + ": " + std::strerror(errno));
+}
+
+absl::Status write_bytes(const std::string& path, const std::string& bytes) {
+  const net::UniqueFd file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  if (!file) return system_error(path);
+  for (std::size_t at = 0; at < bytes.size();) {
+    const ssize_t written = ::write(file.get(), bytes.data() + at, bytes.size() - at);
+    if (written < 0 && errno == EINTR) continue;
+    if (written <= 0) return system_error(path);
+    at += static_cast<std::size_t>(written);
   }
-  std::string why = good ? "" : draft + ": " + std::strerror(errno);
-  if (fd >= 0) ::close(fd);
-  if (good && ::rename(draft.c_str(), path.c_str()) != 0) why = path + ": " + std::strerror(errno);
-  if (!why.empty()) ::unlink(draft.c_str());
-  return why;
+  return absl::OkStatus();
 }
 
-std::string read_file(const std::string& path, std::size_t most) {
-  std::string out;
-  const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
-  if (fd < 0) return out;
-  char part[16384];
-  for (ssize_t n; out.size() <= most && (n = ::read(fd, part, sizeof part)) > 0;)
-    out.append(part, static_cast<std::size_t>(n));
-  ::close(fd);
-  return out;
+absl::Status replace_file(const std::string& draft, const std::string& path, const std::string& bytes) {
+  absl::Status status = write_bytes(draft, bytes);
+  if (status.ok() && ::rename(draft.c_str(), path.c_str()) != 0) status = system_error(path);
+  if (!status.ok()) ::unlink(draft.c_str());
+  return status;
+}
+
+std::string read_file(const std::string& path, std::size_t max_bytes) {
+  std::string bytes;
+  const net::UniqueFd file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
+  if (!file) return bytes;
+  std::array<char, kReadBytes> buffer;
+  while (bytes.size() <= max_bytes) {
+    const ssize_t size = ::read(file.get(), buffer.data(), buffer.size());
+    if (size <= 0) break;
+    bytes.append(buffer.data(), static_cast<std::size_t>(size));
+  }
+  return bytes;
 }
 
 }  // namespace
 
-SnapshotFile::SnapshotFile(boost::asio::io_context& io, std::string folder, std::size_t seat)
-    : io_(io), path_(folder + "/" + kName), draft_(path_ + "." + std::to_string(seat)) {
-  boost::asio::post(thread_, [draft = draft_] { ::unlink(draft.c_str()); });  // of a dead one, half written
+SnapshotFile::SnapshotFile(boost::asio::io_context& io, std::string folder, std::size_t slot)
+    : io_(io), path_(std::move(folder) + "/" + kName), draft_path_(path_ + "." + std::to_string(slot)) {
+  // Of a dead process that held this slot.
+  boost::asio::post(thread_, [draft = draft_path_] { ::unlink(draft.c_str()); });
 }
 
 SnapshotFile::~SnapshotFile() { thread_.join(); }
 
-void SnapshotFile::save(std::string bytes, std::function<void(std::string)> done) {
+void SnapshotFile::save(std::string bytes, std::function<void(const absl::Status&)> done) {
   boost::asio::post(thread_, [this, bytes = std::move(bytes), done = std::move(done)] {
-    boost::asio::post(io_, [done, why = write_file(draft_, path_, bytes)] { done(why); });
+    boost::asio::post(io_, [done, status = replace_file(draft_path_, path_, bytes)] { done(status); });
   });
 }
 
-void SnapshotFile::load(std::size_t most, std::function<void(std::string)> done) {
-  boost::asio::post(thread_, [this, most, done = std::move(done)] {
-    boost::asio::post(io_, [done, bytes = read_file(path_, most)] { done(bytes); });
+void SnapshotFile::load(std::size_t max_bytes, std::function<void(std::string)> done) {
+  boost::asio::post(thread_, [this, max_bytes, done = std::move(done)] {
+    boost::asio::post(io_, [done, bytes = read_file(path_, max_bytes)] { done(bytes); });
   });
 }
 
-void SnapshotFile::clear() {
+void SnapshotFile::remove() {
   boost::asio::post(thread_, [path = path_] { ::unlink(path.c_str()); });
 }
 
--- a/src/shared/counter_snapshot.h
+++ b/src/shared/counter_snapshot.h
@@ -1,7 +1,7 @@
 // The file form of the counters' rows, as a process leaves them for the next one.
 //
-// 4 bytes "fgsh"; then, each 4 bytes, least significant first, the version of the form, the length of what
-// follows and its CRC-32; then a coordination::SharedStateUpdate with the rows.
+// storage/checksummed_file.h with the magic "fgsh"; the body is a coordination::SharedStateUpdate with the
+// rows.
 #pragma once
 
 #include <string>
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -323,7 +323,7 @@
     for (std::size_t seat = 0; seat < 8; ++seat)
       sent += flintglade::hot_restart::DescriptorPassing::send(platform.folder + "/scratch", seat, bytes,
                                                                {client[0], replica[0]}) ==
-              flintglade::hot_restart::DescriptorPassing::Sent::yes;
+              flintglade::hot_restart::DescriptorPassing::SendResult::sent;
     CHECK(sent == 1);
     for (int* pair : {client, replica}) {
       ::close(pair[0]);
--- a/tests/fuzz/state.cpp
+++ b/tests/fuzz/state.cpp
@@ -17,14 +17,16 @@
     for (int i = 0; i < 4; ++i) bytes += static_cast<char>(x >> (8 * i) & 0xff);
   }
   bytes.append(reinterpret_cast<const char*>(data), size);
-  core::Broker::ProcessSnapshot out;
-  bool same_list = false;
-  if (!hot_restart::decode_snapshot(bytes, {"", "", 10, 0}, 20, out, same_list).empty()) return 0;
-  if (out.learned.waits.size() != out.learned.class_work.size() ||
-      out.learned.quota_at.size() != out.learned.quota_tokens.size() || !(out.learned.admit > 0.0))
+  const auto decoded = hot_restart::decode_snapshot(bytes, {"", "", 10, 0}, 20);
+  if (!decoded.ok()) return 0;
+  const core::Broker::ProcessSnapshot& out = decoded->snapshot;
+  if (out.learned.first_event_latency.size() != out.learned.mean_class_work.size() ||
+      out.learned.quota_updated_at.size() != out.learned.quota_tokens.size() ||
+      !(out.learned.admitted_share > 0.0))
     std::abort();
   for (const auto& [id, known] : out.learned.replicas) {
-    if (!std::isfinite(known.health + known.cold_tokens + known.stay.area)) std::abort();
+    if (!std::isfinite(known.health + known.slow_start_tokens + known.time_in_system.in_flight_seconds))
+      std::abort();
   }
   return 0;
 }
--- a/tests/handover_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -1,4 +1,7 @@
 // What one process leaves for the next: whatever is written comes back, and whatever else comes is refused.
+#include "hot_restart/snapshot.h"
+
+#include <gtest/gtest.h>
 #include <rapidcheck.h>
 
 #include <cmath>
@@ -7,9 +10,6 @@
 #include <functional>
 #include <limits>
 
-#include "check.h"
-#include "hot_restart/snapshot.h"
-
 namespace {
 
 using namespace flintglade;
@@ -20,9 +20,6 @@
 const Origin kReader{"n1", "127.0.0.1:8500", 5'000'000, 1'790'000'000'000'400};
 constexpr core::Micros kNow = 6'000'000;
 
-void falsified(bool held) {
-  if (!held) std::exit(1);
-}
 double some(double most) { return *rc::gen::inRange(0, 1'000'000) / 1e6 * most; }
 flintglade::policy::TimeInSystem stay() { return {some(100), some(100), 0.0, some(6)}; }
 flintglade::policy::DecayingSum decayed() { return {some(1000), some(6)}; }
@@ -78,14 +75,17 @@
   return h;
 }
 
+// The snapshot, or the line that says why it can't be used; "" where it can.
 std::string read(const std::string& bytes, Broker::ProcessSnapshot& out, const Origin& reader = kReader,
                  core::Micros now = kNow) {
-  bool same_list = false;
-  return hot_restart::decode_snapshot(bytes, reader, now, out, same_list);
+  auto decoded = hot_restart::decode_snapshot(bytes, reader, now);
+  if (!decoded.ok()) return std::string(decoded.status().message());
+  out = std::move(decoded->snapshot);
+  return "";
 }
 
-void what_is_written_is_read() {
-  falsified(rc::check("written and read", [] {
+TEST(Snapshot, WhatIsEncodedIsDecoded) {
+  EXPECT_TRUE(rc::check("encoded and decoded", [] {
     const Broker::ProcessSnapshot before = handed();
     const std::string bytes = encode_snapshot(before, kWriter, kNow - 1000);
     Broker::ProcessSnapshot after;
@@ -112,8 +112,8 @@
   }));
 }
 
-void a_changed_byte_is_noticed() {
-  falsified(rc::check("changed and cut", [] {
+TEST(Snapshot, AChangedByteAndAShortFileAreNoticed) {
+  EXPECT_TRUE(rc::check("changed and cut", [] {
     std::string bytes = encode_snapshot(handed(), kWriter, kNow - 1000);
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
     Broker::ProcessSnapshot out;
@@ -123,44 +123,56 @@
   }));
 }
 
-void only_for_its_heir() {
-  const auto by = [](const std::function<void(Origin&, core::Micros&)>& change) {
-    Origin reader = kReader;
-    core::Micros now = kNow;
-    change(reader, now);
-    Broker::ProcessSnapshot out;
-    return read(encode_snapshot({}, kWriter, kNow - 1000), out, reader, now);
-  };
-  CHECK(by([](Origin&, core::Micros&) {}) == "");
-  CHECK(by([](Origin& r, core::Micros&) { r.router = "n2"; }) == "it is another router's");
-  CHECK(by([](Origin& r, core::Micros&) { r.unix_less_monotonic += 60'000; }) == "its clock is another one");
-  CHECK(by([](Origin& r, core::Micros&) { r.began = kWriter.began; }) == hot_restart::kWriterNotOlder);
-  CHECK(by([](Origin&, core::Micros& now) { now += hot_restart::kMaxSnapshotAge; }) == "it is old");
-  CHECK(by([](Origin&, core::Micros& now) { now -= 2000; }) == "it is old");  // of the future
-  Broker::ProcessSnapshot h;
+std::string refusal(const std::function<void(Origin& reader, core::Micros& now)>& change) {
+  Origin reader = kReader;
+  core::Micros now = kNow;
+  change(reader, now);
   Broker::ProcessSnapshot out;
-  bool same_list = true;
+  return read(encode_snapshot({}, kWriter, kNow - 1000), out, reader, now);
+}
+
+TEST(Snapshot, IsForALaterProcessOfTheSameRouterAndMachineOnly) {
+  EXPECT_EQ(refusal([](Origin&, core::Micros&) {}), "");
+  EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.router = "n2"; }), "it is another router's");
+  EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.unix_less_monotonic += 60'000; }),
+            "its clock is another one");
+  EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.began = kWriter.began; }),
+            "its writer is no older than this process");
+  EXPECT_EQ(refusal([](Origin&, core::Micros& now) { now += hot_restart::kMaxSnapshotAge; }), "it is old");
+  EXPECT_EQ(refusal([](Origin&, core::Micros& now) { now -= 2000; }), "it is old");  // of the future
+}
+
+TEST(Snapshot, TellsAWriterThatIsNotOlderFromOtherErrors) {
+  Origin reader = kReader;
+  reader.began = kWriter.began;
+  const std::string bytes = encode_snapshot({}, kWriter, kNow - 1000);
+  EXPECT_TRUE(
+      hot_restart::is_written_by_younger_process(hot_restart::decode_snapshot(bytes, reader, kNow).status()));
+  EXPECT_FALSE(hot_restart::is_written_by_younger_process(
+      hot_restart::decode_snapshot("nothing", reader, kNow).status()));
+}
+
+TEST(Snapshot, TellsWhetherTheEndpointListComesFromTheSamePlace) {
   Origin elsewhere = kReader;
   elsewhere.discovery = "127.0.0.1:8501";
-  CHECK(hot_restart::decode_snapshot(encode_snapshot(h, kWriter, kNow), elsewhere, kNow, out, same_list) ==
-            "" &&
-        !same_list);
+  const auto decoded = hot_restart::decode_snapshot(encode_snapshot({}, kWriter, kNow), elsewhere, kNow);
+  ASSERT_TRUE(decoded.ok());
+  EXPECT_FALSE(decoded->same_list);
+}
+
+TEST(Snapshot, NumbersThatTheDecisionModuleCantWorkWithAreRefused) {
+  constexpr char kRefused[] = "it holds numbers that cannot be";
+  Broker::ProcessSnapshot snapshot;
+  Broker::ProcessSnapshot out;
   for (const double wrong : {std::nan(""), std::numeric_limits<double>::infinity(), -1.0, 1e300}) {
-    h.learned.admitted_share = wrong;
-    CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "it holds numbers that cannot be");
+    snapshot.learned.admitted_share = wrong;
+    EXPECT_EQ(read(encode_snapshot(snapshot, kWriter, kNow), out), kRefused);
   }
-  h.learned.admitted_share = 1.0;
-  h.learned.time_in_system_by_kind[0] = {};
-  CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "");
-  h.learned.prefill_costs[0] = {0.0, 3.0};  // three samples of no time at all
-  CHECK(read(encode_snapshot(h, kWriter, kNow), out) == "it holds numbers that cannot be");
+  snapshot.learned.admitted_share = 1.0;
+  snapshot.learned.time_in_system_by_kind[0] = {};
+  EXPECT_EQ(read(encode_snapshot(snapshot, kWriter, kNow), out), "");
+  snapshot.learned.prefill_costs[0] = {0.0, 3.0};  // three samples of no time at all
+  EXPECT_EQ(read(encode_snapshot(snapshot, kWriter, kNow), out), kRefused);
 }
 
 }  // namespace
-
-int main() {
-  what_is_written_is_read();
-  a_changed_byte_is_noticed();
-  only_for_its_heir();
-  std::printf("3 passed, 0 failed\n");
-}
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -129,12 +129,11 @@
 TEST_F(StoredData, StateSnapshotIsRead) {
   hot_restart::Origin reader = state_writer();
   reader.began = 5 * core::kSecond;
-  core::Broker::ProcessSnapshot read;
-  bool same_list = false;
-  ASSERT_EQ(hot_restart::decode_snapshot(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli, read,
-                                         same_list),
-            "");
-  EXPECT_TRUE(same_list);
+  const auto decoded =
+      hot_restart::decode_snapshot(fixture(kStateFile), reader, kStateWrittenAt + core::kMilli);
+  ASSERT_EQ(decoded.status().message(), "");
+  EXPECT_TRUE(decoded->same_list);
+  const core::Broker::ProcessSnapshot& read = decoded->snapshot;
   const core::Broker::ProcessSnapshot sample = sample_state();
   EXPECT_EQ(read.version, sample.version);
   ASSERT_EQ(read.entries.size(), sample.entries.size());
@@ -150,9 +149,7 @@
 
 TEST_F(StoredData, StateSnapshotNamesItsWriter) {
   const auto refusal = [](const hot_restart::Origin& reader, core::Micros now) {
-    core::Broker::ProcessSnapshot read;
-    bool same_list = false;
-    return hot_restart::decode_snapshot(fixture(kStateFile), reader, now, read, same_list);
+    return std::string(hot_restart::decode_snapshot(fixture(kStateFile), reader, now).status().message());
   };
   hot_restart::Origin reader = state_writer();
   EXPECT_NE(refusal(reader, kStateWrittenAt), "");  // no younger than its writer
@@ -312,18 +309,18 @@
 TEST_F(StoredData, ProcessSlotsAreTakenOver) {
   put(kProcessSlotsFile, kSlotsName);
   hot_restart::ProcessSlots first, second;
-  ASSERT_EQ(first.join(folder_, kSlotsRouter), "");
-  first.publish({hot_restart::Stage::serving, 33, 2048, 0, 0});
-  ASSERT_EQ(second.join(folder_, kSlotsRouter), "");
-  EXPECT_EQ(first.seat(), 0u);
-  EXPECT_EQ(second.seat(), 1u);
-  const std::vector<hot_restart::Use> seen = second.others();
+  ASSERT_TRUE(first.join(folder_, kSlotsRouter).ok());
+  first.publish({hot_restart::ProcessStage::serving, 33, 2048, 0, 0});
+  ASSERT_TRUE(second.join(folder_, kSlotsRouter).ok());
+  EXPECT_EQ(first.slot(), 0u);
+  EXPECT_EQ(second.slot(), 1u);
+  const std::vector<hot_restart::ProcessUsage> seen = second.others();
   ASSERT_EQ(seen.size(), 1u);
-  EXPECT_EQ(seen[0].stage, hot_restart::Stage::serving);
-  EXPECT_EQ(seen[0].sockets, 33u);
-  EXPECT_EQ(seen[0].bodies, 2048u);
-  EXPECT_EQ(seen[0].seat, 0u);
-  EXPECT_EQ(seen[0].joined, 3u);
+  EXPECT_EQ(seen[0].stage, hot_restart::ProcessStage::serving);
+  EXPECT_EQ(seen[0].descriptors, 33u);
+  EXPECT_EQ(seen[0].body_bytes, 2048u);
+  EXPECT_EQ(seen[0].slot, 0u);
+  EXPECT_EQ(seen[0].join_order, 3u);
   const std::string bytes = file_contents(folder_ + kSlotsName);
   ASSERT_EQ(bytes.size(), kSlotsFileSize);
   expect_slot(bytes, 0, {1, 1, 33, 2048, 3});
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -307,10 +307,10 @@
 
 std::string write_process_slots(const std::string& folder) {
   hot_restart::ProcessSlots first, second;
-  if (!first.join(folder, kSlotsRouter).empty()) return "";
-  first.publish({hot_restart::Stage::draining, 812, 700'000, 0, 0});
-  if (!second.join(folder, kSlotsRouter).empty()) return "";
-  second.publish({hot_restart::Stage::serving, 120, 4096, 0, 0});
+  if (!first.join(folder, kSlotsRouter).ok()) return "";
+  first.publish({hot_restart::ProcessStage::draining, 812, 700'000, 0, 0});
+  if (!second.join(folder, kSlotsRouter).ok()) return "";
+  second.publish({hot_restart::ProcessStage::serving, 120, 4096, 0, 0});
   return file_contents(folder + kSlotsName);
 }
 
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -19,7 +19,6 @@
 #include "core/broker.h"
 #include "core_stand_ins.h"
 #include "discovery/entries.h"
-#include "hot_restart/limit_partition.h"
 #include "http/connection_eviction.h"
 #include "http/replica_client.h"
 #include "http/server.h"
@@ -770,32 +769,6 @@
   CHECK(!crowd.filling(40) && crowd.filling(41) && !crowd.pressing(70) && crowd.pressing(71));
 }
 
-// Whatever two or three processes hold, what each may hold on top keeps the sum within the whole.
-void processes_of_one_router_share_one_budget() {
-  using hot_restart::Part;
-  using hot_restart::Stage;
-  using hot_restart::Use;
-  const Part whole{384, 1000};
-  const Stage stages[] = {Stage::starting, Stage::serving, Stage::draining};
-  CHECK(hot_restart::part(whole, {Stage::serving, 100, 0}, {}).sockets == 384 - hot_restart::kStart);
-  for (const Stage own : stages) {
-    for (const Stage other : stages) {
-      for (std::size_t held = 0; held <= 400; held += 8) {
-        const Use a{own, 0, 0}, b{other, held, held * 3};
-        const Use two[] = {b, {Stage::draining, 50, 10}};
-        for (const auto& others : {std::span<const Use>(two, 1), std::span<const Use>(two, 2)}) {
-          std::size_t sockets = 0, bodies = 0;
-          for (const Use& o : others) sockets += o.sockets, bodies += o.bodies;
-          const Part mine = hot_restart::part(whole, a, others);
-          CHECK(mine.sockets == 0 || mine.sockets + sockets <= whole.sockets);
-          CHECK(mine.bodies == 0 || mine.bodies + bodies <= whole.bodies);
-          if (own == Stage::serving && other == Stage::starting) CHECK(mine.sockets <= whole.sockets / 2);
-        }
-      }
-    }
-  }
-}
-
 void figures_are_text() {
   core::Counters counters;
   counters.answers = {{3, 2, 1}, {0, 0, 1'234'567'890'123}};
@@ -844,7 +817,6 @@
                                          names_fit_into_a_header,
                                          figures_are_text,
                                          who_goes_first_in_a_crowd,
-                                         processes_of_one_router_share_one_budget,
                                          a_storm_of_like_lines_is_counted,
                                          savefiles_give_back_what_was_written};
   for (const auto& test : tests) test();
