--- a/src/policy/request_work.cpp
+++ b/src/policy/request_work.cpp
@@ -24,8 +24,7 @@
 
 double RequestWork::arrival_rate(double now) const {
   // A window that has not passed yet counts for the part that has. After the first window the rate comes out
-  // too high, by e / (e - 1) in the long run, because older arrivals are still in the sum; what the budgets
-  // of slow start and the zone's demand were tuned with includes that factor.
+  // too high, by e / (e - 1) in the long run, because older arrivals are still in the sum.
   const double observed = std::clamp(now - learned_.started_at, 1.0, window_s_);
   return learned_.arrived_work.value(now, window_s_) / (window_s_ * (1.0 - std::exp(-observed / window_s_)));
 }
