--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -81,32 +81,32 @@
 
 // One debug line an RPC's coming, refusal, failure or its client's going, a call attempt's start, first event
 // and end, and a list.
-void write_trace(const core::Trace& t) {
+void write_trace(const core::TraceEvent& event) {
   static constexpr std::array<const char*, 8> kNames = {
       "attempt_started", "attempt_ended",        "first_event",      "request_rejected",
       "request_failed",  "endpoint_list_update", "request_received", "client_disconnected"};
-  const char* name = kNames[static_cast<std::size_t>(t.what)];
-  if (t.what == core::Trace::What::list) {
-    log::event(Level::debug, name, {{"kind", t.detail}, {"entries", t.count}});
-  } else if (t.what == core::Trace::What::arrived) {
-    log::event(Level::debug, name, {{"request", t.rpc}, {"id", t.detail}});
-  } else if (t.what == core::Trace::What::ended) {
+  const char* name = kNames[static_cast<std::size_t>(event.kind)];
+  if (event.kind == core::TraceEvent::Kind::endpoint_list_update) {
+    log::event(Level::debug, name, {{"kind", event.detail}, {"entries", event.entries}});
+  } else if (event.kind == core::TraceEvent::Kind::request_received) {
+    log::event(Level::debug, name, {{"request", event.request}, {"id", event.detail}});
+  } else if (event.kind == core::TraceEvent::Kind::attempt_ended) {
     log::event(Level::debug, name,
-               {{"request", t.rpc},
-                {"attempt", t.attempt},
-                {"replica", t.replica},
-                {"kind", t.kind},
-                {"zone", t.zone},
-                {"outcome", t.detail},
-                {"took_us", t.took},
-                {"kept", t.kept}});
+               {{"request", event.request},
+                {"attempt", event.attempt},
+                {"replica", event.replica},
+                {"kind", event.replica_kind},
+                {"zone", event.replica_zone},
+                {"outcome", event.detail},
+                {"took_us", event.took},
+                {"kept", event.cached_tokens}});
   } else {
     log::event(Level::debug, name,
-               {{"request", t.rpc},
-                {"attempt", t.attempt},
-                {"replica", t.replica},
-                {"outcome", t.detail},
-                {"took_us", t.took}});
+               {{"request", event.request},
+                {"attempt", event.attempt},
+                {"replica", event.replica},
+                {"outcome", event.detail},
+                {"took_us", event.took}});
   }
 }
 
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -148,9 +148,9 @@
 std::vector<Broker::MigratableStream> Broker::migratable_streams(Wire wire) const {
   std::unordered_set<RequestId> busy;
   for (const Event& event : gathered_) {
-    if (const auto* e = std::get_if<Events>(&event)) busy.insert(e->id.rpc);
-    if (const auto* e = std::get_if<Ended>(&event)) busy.insert(e->id.rpc);
-    if (const auto* e = std::get_if<Rejected>(&event)) busy.insert(e->id.rpc);
+    if (const auto* e = std::get_if<Events>(&event)) busy.insert(e->id.request);
+    if (const auto* e = std::get_if<Ended>(&event)) busy.insert(e->id.request);
+    if (const auto* e = std::get_if<Rejected>(&event)) busy.insert(e->id.request);
     if (const auto* e = std::get_if<Gone>(&event)) busy.insert(e->id);
     if (const auto* e = std::get_if<Writable>(&event)) busy.insert(e->id);
   }
@@ -294,7 +294,7 @@
   return it == rpcs_.end() ? nullptr : &it->second;
 }
 Broker::AttemptState* Broker::find_out(AttemptId id, Rpc*& rpc) {
-  rpc = find(id.rpc);
+  rpc = find(id.request);
   if (rpc == nullptr || id.attempt >= rpc->calls.size() || !rpc->calls[id.attempt].out) return nullptr;
   return &rpc->calls[id.attempt];
 }
@@ -307,7 +307,7 @@
 
 void Broker::take(Arrived& e) {
   ++counters_.requests;
-  if (trace_) trace_({Trace::What::arrived, e.id, 0, 0, e.request->trace_id});
+  if (trace_) trace_({TraceEvent::Kind::request_received, e.id, 0, 0, e.request->trace_id});
   counters_.client_retries += e.request->is_retry;
   counters_.requests_resumed += e.request->resumed;
   // The bodies of waiting RPCs are the router's largest use of memory; past the budget a new one is refused
@@ -367,7 +367,7 @@
   Rpc* rpc = find(e.id);
   if (rpc == nullptr || rpc->over()) return;
   ++counters_.clients_disconnected;
-  if (trace_) trace_({Trace::What::gone, e.id, 0, 0, "", now_ - rpc->came});
+  if (trace_) trace_({TraceEvent::Kind::client_disconnected, e.id, 0, 0, "", now_ - rpc->came});
   close(*rpc);
   module_.on_client_disconnected(to_seconds(now_), e.id, *this);
   // The stream's own attempt is the core's to end: the module may not cancel one that has started. Its
@@ -393,7 +393,7 @@
     ++counters_.requests_failed;
     ++counters_.requests_invalid;
     close(*rpc, &Answers::failed)->fail(Failure::rejected);
-    module_.on_client_disconnected(to_seconds(now_), e.id.rpc, *this);
+    module_.on_client_disconnected(to_seconds(now_), e.id.request, *this);
   }
   end_call(e.id, *rpc, *call, Outcome::cancelled);
 }
@@ -445,7 +445,8 @@
   }
   static constexpr std::array<const char*, 4> kKinds = {"changes", "known", "whole", "failed"};
   if (trace_)
-    trace_({Trace::What::list, 0, 0, 0, kKinds[static_cast<std::size_t>(e.kind)], 0, e.entries.size()});
+    trace_({TraceEvent::Kind::endpoint_list_update, 0, 0, 0, kKinds[static_cast<std::size_t>(e.kind)], 0,
+            e.entries.size()});
   if (e.kind != ListKind::cached) heard_ = true;
   if (e.kind != ListKind::failed) version_ = e.version;
   if (e.kind == ListKind::full || e.kind == ListKind::delta) listed_ = true;
@@ -556,7 +557,7 @@
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
   ++counters_.requests_overdue;
   ++counters_.requests_failed;
-  if (trace_) trace_({Trace::What::failed, id, 0, 0, "overdue", now_ - rpc->came});
+  if (trace_) trace_({TraceEvent::Kind::request_failed, id, 0, 0, "overdue", now_ - rpc->came});
   close(*rpc, &Answers::failed)->fail(now_ >= rpc->deadline ? Failure::deadline : Failure::error);
   module_.on_client_disconnected(to_seconds(now_), id, *this);
   drop_if_done(id, *rpc);
@@ -605,12 +606,13 @@
 void Broker::bind(AttemptId id, Rpc& rpc, const AttemptState& call) {
   rpc.bound = static_cast<int>(id.attempt);
   policy::FirstEvent a;
-  a.id = id.rpc;
+  a.id = id.request;
   a.attempt = id.attempt;
   a.replica = call.replica;
   a.latency = to_seconds(now_ - call.sent);
   if (shared_state_ != nullptr) shared_state_->on_first_event(now_, call.replica);
-  if (trace_) trace_({Trace::What::bound, id.rpc, id.attempt, call.replica, "", now_ - call.sent});
+  if (trace_)
+    trace_({TraceEvent::Kind::first_event, id.request, id.attempt, call.replica, "", now_ - call.sent});
   module_.on_first_event(to_seconds(now_), a, *this);
 }
 
@@ -645,8 +647,9 @@
   ++counters_.outcomes[which];
   if (shared_state_ != nullptr) shared_state_->on_attempt_ended(now_, call.replica, outcome);
   if (trace_)
-    trace_({Trace::What::ended, id.rpc, id.attempt, call.replica, kOutcomes[which], now_ - call.sent, 0, kept,
-            replicas_[call.replica].replica.kind, replicas_[call.replica].replica.zone});
+    trace_({TraceEvent::Kind::attempt_ended, id.request, id.attempt, call.replica, kOutcomes[which],
+            now_ - call.sent, 0, kept, replicas_[call.replica].replica.kind,
+            replicas_[call.replica].replica.zone});
   if (!rpc.over() && outcome == Outcome::ok && bound) {
     ++counters_.requests_served;
     close(rpc, &Answers::served)->finish();
@@ -655,7 +658,7 @@
     close(rpc, &Answers::failed)->abort_stream();
   }
   policy::AttemptResult r;
-  r.id = id.rpc;
+  r.id = id.request;
   r.attempt = id.attempt;
   r.replica = call.replica;
   r.outcome = outcome;
@@ -664,7 +667,7 @@
   r.note = kept;
   r.report = std::move(report);
   module_.on_attempt_result(to_seconds(now_), r, *this);
-  drop_if_done(id.rpc, rpc);
+  drop_if_done(id.request, rpc);
 }
 
 // ---- the module's actions
@@ -691,7 +694,7 @@
   }
   ++counters_.attempts;
   if (id.attempt > 0) ++counters_.further_attempts;
-  if (trace_) trace_({Trace::What::call, a.id, id.attempt, a.replica, "", now_ - rpc->came});
+  if (trace_) trace_({TraceEvent::Kind::attempt_started, a.id, id.attempt, a.replica, "", now_ - rpc->came});
   const Micros left = rpc->deadline - now_;
   const Micros allowed = a.allow_for == 0.0 ? left : std::min(left, to_micros(a.allow_for));
   wake(now_ + allowed + (allowed == left ? kExpirySlack : 0), AttemptExpiry{id});
@@ -702,7 +705,7 @@
   Rpc* rpc = find(a.id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
   ++counters_.requests_rejected;
-  if (trace_) trace_({Trace::What::unavailable, a.id, 0, 0, "", now_ - rpc->came});
+  if (trace_) trace_({TraceEvent::Kind::request_rejected, a.id, 0, 0, "", now_ - rpc->came});
   close(*rpc, &Answers::refused)->reject(to_micros(a.not_before_for), now_ >= rpc->deadline);
   drop_if_done(a.id, *rpc);
 }
@@ -711,7 +714,7 @@
   Rpc* rpc = find(a.id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
   ++counters_.requests_failed;
-  if (trace_) trace_({Trace::What::failed, a.id, 0, 0, "", now_ - rpc->came});
+  if (trace_) trace_({TraceEvent::Kind::request_failed, a.id, 0, 0, "", now_ - rpc->came});
   close(*rpc, &Answers::failed)->fail(now_ >= rpc->deadline ? Failure::deadline : Failure::error);
   drop_if_done(a.id, *rpc);
 }
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -133,7 +133,7 @@
   std::size_t listed_replicas() const;                                    // not gone, by the list held
   std::size_t avoided_replicas() const;  // of them, those that the module now avoids, or that drain
   const Counters& counters() const { return counters_; }
-  void trace(std::function<void(const Trace&)> to) { trace_ = std::move(to); }
+  void trace(TraceListener to) { trace_ = std::move(to); }
   void share(SharedStatePort* with) { shared_state_ = with; }  // borrowed; null: each router for itself
   // Other routers have seen this replica fail: it is passed over for so long, as if a connect had failed.
   void on_health_warning(ReplicaId replica, Micros span);
@@ -323,7 +323,7 @@
   std::priority_queue<Alarm, std::vector<Alarm>, std::greater<>> alarms_;
   std::uint64_t alarms_set_ = 0;
   Counters counters_;
-  std::function<void(const Trace&)> trace_;
+  TraceListener trace_;
   SharedStatePort* shared_state_ = nullptr;
 };
 
--- /dev/null
+++ b/src/core/ids.h
@@ -0,0 +1,28 @@
+// Names by which the core, its ports and the decision module speak of requests, attempts and replicas. An id
+// is unique within one process and is not used again.
+#pragma once
+
+#include <compare>
+#include <cstddef>
+#include <cstdint>
+
+#include "flintglade/policy/balancer.h"
+
+namespace flintglade::core {
+
+using RequestId = policy::RequestId;  // 0: no request
+using ReplicaId = policy::ReplicaId;
+
+// One attempt to have a request served by a replica. Attempts of a request are numbered from 0.
+struct AttemptId {
+  RequestId request = 0;
+  std::uint32_t attempt = 0;
+  auto operator<=>(const AttemptId&) const = default;
+};
+
+// The protocol over which a request came in, and over which its attempts go out: each has a server and a
+// replica client of its own.
+enum class Wire : std::uint8_t { http = 0, kserve = 1 };
+inline constexpr std::size_t kWires = 2;
+
+}  // namespace flintglade::core
--- /dev/null
+++ b/src/core/trace.h
@@ -0,0 +1,42 @@
+// What the core did with each request and attempt, for whoever logs it. Off unless a listener is set.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <string_view>
+
+#include "core/ids.h"
+#include "core/time.h"
+
+namespace flintglade::core {
+
+struct TraceEvent {
+  enum class Kind : std::uint8_t {
+    attempt_started,
+    attempt_ended,
+    first_event,  // the client gets the answer of this attempt
+    request_rejected,
+    request_failed,
+    endpoint_list_update,
+    request_received,
+    client_disconnected,
+  };
+  Kind kind;
+  RequestId request = 0;
+  std::uint32_t attempt = 0;
+  ReplicaId replica = 0;
+  // The outcome, the kind of the list update or the client's trace id. Valid only while the listener runs.
+  std::string_view detail;
+  // Microseconds since the attempt was started or, for the end of a request, since the request came.
+  Micros took = 0;
+  std::size_t entries = 0;          // entries of the endpoint list
+  std::uint32_t cached_tokens = 0;  // at an attempt's end: prompt tokens that the replica had cached
+  std::uint32_t replica_kind = 0;   // kind of the attempt's replica
+  std::uint32_t replica_zone = 0;   // and its zone
+};
+
+// Called on the core's thread, within the step that it tells of.
+using TraceListener = std::function<void(const TraceEvent&)>;
+
+}  // namespace flintglade::core
--- a/src/http/replica_client.h
+++ b/src/http/replica_client.h
@@ -56,7 +56,7 @@
     core::Micros no_new_after = core::kNever;
     std::deque<std::shared_ptr<Connection>> idle;  // the freshest last
   };
-  static std::uint64_t key(core::AttemptId id) { return id.rpc << 8 | (id.attempt & 0xff); }
+  static std::uint64_t key(core::AttemptId id) { return id.request << 8 | (id.attempt & 0xff); }
   core::Micros keep_for() const;
   void sweep();
   void drop_idle(Subchannel& sub);
--- a/tests/core/broker_recording_test.cpp
+++ b/tests/core/broker_recording_test.cpp
@@ -315,7 +315,7 @@
         broker_(recording.settings(), recording.module(), seed, *this, *this) {
     broker_.attach(Wire::http, http_);
     broker_.attach(Wire::kserve, kserve_);
-    broker_.trace([this](const Trace& trace) { note(trace); });
+    broker_.trace([this](const TraceEvent& trace) { note(trace); });
     if (recording.shares) broker_.share(&shared_state_);
   }
 
@@ -356,7 +356,7 @@
     return event.what != Scheduled::What::on_client_disconnected && event.what != Scheduled::What::writable &&
            event.what != Scheduled::What::list;
   }
-  void note(const Trace& trace);
+  void note(const TraceEvent& trace);
   void gather_due();
   void gather(Scheduled& event);
   std::shared_ptr<Request> draw_request();
@@ -387,7 +387,7 @@
   if (!router_->random().one_in(30)) return true;
   Scheduled event;
   event.what = Scheduled::What::writable;
-  event.call.rpc = id_;
+  event.call.request = id_;
   router_->schedule(static_cast<Micros>(router_->random().below(3 * kSecond)), event);
   return false;
 }
@@ -400,17 +400,17 @@
 }
 void RecordedReplicaClient::start_attempt(AttemptId id, ReplicaId replica, std::shared_ptr<const Request> rpc,
                                           Micros patience) {
-  router_.log().note(TurnLog::kCall, id.rpc,
+  router_.log().note(TurnLog::kCall, id.request,
                      {id.attempt, static_cast<std::uint64_t>(wire_), replica, word(patience),
                       hash_of(rpc->trace_id), rpc->bytes()});
   router_.plan(id, *rpc, patience);
 }
 void RecordedReplicaClient::cancel_attempt(AttemptId id) {
-  router_.log().note(TurnLog::kCancel, id.rpc, {id.attempt, static_cast<std::uint64_t>(wire_)});
+  router_.log().note(TurnLog::kCancel, id.request, {id.attempt, static_cast<std::uint64_t>(wire_)});
   router_.forget(id);
 }
 void RecordedReplicaClient::pause_attempt(AttemptId id, bool paused) {
-  router_.log().note(TurnLog::kPause, id.rpc, {id.attempt, static_cast<std::uint64_t>(wire_), paused});
+  router_.log().note(TurnLog::kPause, id.request, {id.attempt, static_cast<std::uint64_t>(wire_), paused});
 }
 
 void SimulatedRouter::subscribe(bool on) {
@@ -419,12 +419,12 @@
   event.what = Scheduled::What::list;
   schedule(static_cast<Micros>(random_.below(100 * kMilli)), event);
 }
-void SimulatedRouter::note(const Trace& trace) {
-  const bool client_named_it = trace.what == Trace::What::arrived;
-  log_.note(TurnLog::kTrace, trace.rpc,
-            {static_cast<std::uint64_t>(trace.what), trace.attempt, trace.replica,
+void SimulatedRouter::note(const TraceEvent& trace) {
+  const bool client_named_it = trace.kind == TraceEvent::Kind::request_received;
+  log_.note(TurnLog::kTrace, trace.request,
+            {static_cast<std::uint64_t>(trace.kind), trace.attempt, trace.replica,
              client_named_it ? hash_of(trace.detail) : log_.number_of(trace.detail), word(trace.took),
-             trace.count, trace.kept, trace.kind, trace.zone});
+             trace.entries, trace.cached_tokens, trace.replica_kind, trace.replica_zone});
 }
 
 // What becomes of a call: an answer, a fault, silence, or a stream that stops in its middle.
@@ -507,9 +507,9 @@
     case Scheduled::What::written:
       return broker_.on_attempt_written();
     case Scheduled::What::on_client_disconnected:
-      return broker_.on_client_disconnected(event.call.rpc);
+      return broker_.on_client_disconnected(event.call.request);
     case Scheduled::What::writable:
-      return broker_.on_client_writable(event.call.rpc);
+      return broker_.on_client_writable(event.call.request);
     case Scheduled::What::list:
       return broker_.on_endpoint_list_update(discovery_.tell());
   }
@@ -526,7 +526,7 @@
     channels_[id] = response_writer;
     Scheduled event;
     event.what = Scheduled::What::on_client_disconnected;
-    event.call.rpc = id;
+    event.call.request = id;
     if (random_.one_in(8)) schedule(static_cast<Micros>(random_.below(2 * kSecond)), event);
   }
 }
@@ -647,12 +647,12 @@
       const RequestId id = successor.broker_.migrated_in(r);
       hash_.add(id);
       for (Scheduled& event : scheduled_) {
-        if (event.call.rpc != r.id || id == 0) continue;
+        if (event.call.request != r.id || id == 0) continue;
         Scheduled moved = event;
         moved.call = {id, 0};
         successor.scheduled_.push_back(moved);
       }
-      std::erase_if(scheduled_, [&r](const Scheduled& event) { return event.call.rpc == r.id; });
+      std::erase_if(scheduled_, [&r](const Scheduled& event) { return event.call.request == r.id; });
       if (id == 0) continue;
       channels_[r.id]->moves_to(successor, id);
       successor.channels_[id] = channels_[r.id];
