--- /dev/null
+++ b/src/core/broker_context.h
@@ -0,0 +1,59 @@
+// What the handlers of the core share. Owned by the Broker, borrowed by the handlers, on the core's thread
+// only.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+
+#include "core/actions.h"
+#include "core/broker_settings.h"
+#include "core/counters.h"
+#include "core/endpoint_table.h"
+#include "core/events.h"
+#include "core/lifecycle.h"
+#include "core/module_time.h"
+#include "core/ports.h"
+#include "core/request_table.h"
+#include "core/timer_queue.h"
+#include "flintglade/policy/balancer.h"
+
+namespace flintglade::core {
+
+struct BrokerContext {
+  BrokerContext(const BrokerSettings& broker_settings, const policy::Settings& module_settings,
+                std::uint64_t seed, Micros start)
+      : settings(broker_settings),
+        module(module_settings, seed, to_seconds(start)),
+        now(start),
+        endpoints(broker_settings.list_lag),
+        lifecycle(settings),
+        counters(module_settings.classes.size()) {}
+  BrokerContext(const BrokerContext&) = delete;
+  BrokerContext& operator=(const BrokerContext&) = delete;
+
+  double now_seconds() const { return to_seconds(now); }
+  ReplicaClient& replica_client(const RequestState& state) const {
+    return *replica_clients[static_cast<std::size_t>(state.request->wire)];
+  }
+  void trace_event(const TraceEvent& event) const {
+    if (trace) trace(event);
+  }
+
+  BrokerSettings settings;
+  policy::Balancer module;  // the decision module
+  Micros now;               // when the iteration began
+  RequestTable requests;
+  EndpointTable endpoints;
+  TimerQueue timers;
+  Lifecycle lifecycle;
+  std::deque<Event> events;  // for the next iteration; a deque grows without moving what it holds
+  ActionCollector actions;   // what the module asked for in this iteration
+  Counters counters;
+  std::array<ReplicaClient*, kWires> replica_clients{};  // borrowed; null until attached
+  SharedStatePort* shared_state = nullptr;               // borrowed; null: each router for itself
+  TraceListener trace;                                   // empty: off
+};
+
+}  // namespace flintglade::core
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -2,9 +2,9 @@
 
 namespace flintglade::core {
 
-std::vector<std::pair<const char*, std::uint64_t>> Counters::list() const {
-  std::vector<std::pair<const char*, std::uint64_t>> out;
-  const auto add = [&out](const char* name, std::uint64_t value) { out.emplace_back(name, value); };
+std::vector<NamedCounter> Counters::list() const {
+  std::vector<NamedCounter> out;
+  const auto add = [&out](const char* name, std::uint64_t value) { out.push_back({name, value}); };
   add("requests", requests);
   add("client_retries", client_retries);
   add("requests_resumed", requests_resumed);
@@ -26,7 +26,7 @@
   add("attempts_written", attempts_written);
   add("further_attempts", further_attempts);
   for (std::size_t i = 0; i < kOutcomes.size(); ++i) add(kOutcomes[i], outcomes[i]);
-  add("list_updates", on_endpoint_list_update);
+  add("list_updates", list_updates);
   add("list_failures", list_failures);
   add("reloads", reloads);
   add("reloads_rejected", reloads_rejected);
--- /dev/null
+++ b/src/core/request_table.h
@@ -0,0 +1,100 @@
+// The requests in flight, the attempts of each, their trace ids, and the memory that their bodies take. On
+// the core's thread only.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "core/ids.h"
+#include "core/request.h"
+#include "core/response_writer.h"
+#include "core/time.h"
+
+namespace flintglade::core {
+
+// One attempt, from when the decision module asks for it.
+struct AttemptState {
+  ReplicaId replica = 0;
+  Micros started_at = 0;
+  bool running = true;   // the module has not been told its outcome
+  bool stopped = false;  // cancelled; its outcome is gathered, or held
+  bool held = false;     // cancelled by its client; counts as its replica's work until the hold expires
+};
+
+// One request, until it has its final response and none of its attempts runs.
+struct RequestState {
+  static constexpr int kNoAttempt = -1;
+
+  std::shared_ptr<const Request> request;
+  std::shared_ptr<ResponseWriter> response_writer;  // null once the final response is given
+  Micros received_at = 0;
+  Micros deadline = 0;  // for the first event
+  std::vector<AttemptState> attempts;
+  int streaming_attempt = kNoAttempt;  // the one whose answer the client gets, from its first event on
+  Micros last_event_at = 0;
+  bool client_blocked = false;  // the client reads too slowly: its attempt is paused
+
+  bool closed() const { return response_writer == nullptr; }
+  bool streaming() const { return streaming_attempt != kNoAttempt; }
+  bool streams(AttemptId id) const { return streaming_attempt == static_cast<int>(id.attempt); }
+  bool has_running_attempt() const;
+};
+
+// An attempt that runs, with its request; both null if there is none.
+struct RunningAttempt {
+  RequestState* request = nullptr;
+  AttemptState* attempt = nullptr;
+  explicit operator bool() const { return attempt != nullptr; }
+};
+
+class RequestTable {
+ public:
+  // The id of a new request; 0 if an open request has this trace id.
+  RequestId reserve(const std::string& trace_id);
+  // A reserved request that is not inserted: its trace id is free again.
+  void release(const std::string& trace_id) { open_trace_ids_.erase(trace_id); }
+  // Inserts a reserved request, which is open from now on. Its body is not counted yet.
+  RequestState& insert(RequestId id, std::shared_ptr<const Request> request,
+                       std::shared_ptr<ResponseWriter> response_writer);
+
+  // Null if there is no such request. Valid until the request is erased.
+  RequestState* find(RequestId id);
+  RunningAttempt find_running(AttemptId id);
+
+  // Closes the request: it is open no more, and the writer that is returned takes its final response.
+  std::shared_ptr<ResponseWriter> close(RequestState& state);
+  // Marks the request for erase_finished, if it is closed and has no running attempt.
+  void mark_if_finished(RequestId id, const RequestState& state);
+  // Erases marked requests, but not those for which the module has asked for an attempt meanwhile (in the
+  // very iteration in which the client went away, say). That attempt is never sent, but the module has to get
+  // its outcome.
+  void erase_finished();
+
+  // Counts the request's body against the budget, until the request is erased or its body dropped.
+  void count_body(const Request& request) { body_bytes_ += request.bytes(); }
+  // Frees the body; of the request only the wire is left.
+  void drop_body(RequestState& state);
+  std::size_t body_bytes() const { return body_bytes_; }
+
+  // Requests without a final response.
+  std::size_t open_requests() const { return open_requests_; }
+  // No request, nor any attempt of one that is closed.
+  bool empty() const { return requests_.empty(); }
+  // In no particular order.
+  const std::unordered_map<RequestId, RequestState>& all() const { return requests_; }
+
+ private:
+  RequestId last_id_ = 0;
+  std::size_t open_requests_ = 0;
+  std::size_t body_bytes_ = 0;
+  std::unordered_map<RequestId, RequestState> requests_;
+  std::vector<RequestId> finished_;
+  std::unordered_set<std::string> open_trace_ids_;
+};
+
+}  // namespace flintglade::core
--- a/src/core/trace.h
+++ b/src/core/trace.h
@@ -27,7 +27,7 @@
   std::uint32_t attempt = 0;
   ReplicaId replica = 0;
   // The outcome, the kind of the list update or the client's trace id. Valid only while the listener runs.
-  std::string_view detail;
+  std::string_view detail = {};
   // Microseconds since the attempt was started or, for the end of a request, since the request came.
   Micros took = 0;
   std::size_t entries = 0;          // entries of the endpoint list
--- a/src/http/stream_migration.cpp
+++ b/src/http/stream_migration.cpp
@@ -8,16 +8,16 @@
   for (const core::Broker::MigratableStream& r : broker_.migratable_streams(core::Wire::http)) {
     hot_restart::Stream stream;
     const Descriptors fds{HttpServer::describe(*r.response_writer, stream),
-                          replicas_.describe(r.call, stream)};
+                          replicas_.describe(r.attempt, stream)};
     if (fds[0] < 0 || fds[1] < 0) continue;
     stream.set_trace_id(r.request->trace_id);
     stream.set_klass(r.request->request_class);
     stream.set_tenant(r.request->tenant);
     stream.set_replica(r.replica);
-    stream.set_came_us(r.came);
-    stream.set_last_event_us(r.last_event);
+    stream.set_came_us(r.received_at);
+    stream.set_last_event_us(r.last_event_at);
     if (!offer(stream.SerializeAsString(), fds)) return;
-    replicas_.migrated_out(r.call);
+    replicas_.migrated_out(r.attempt);
     HttpServer::migrated_out(*r.response_writer);
     broker_.migrated_out(r);
   }
@@ -38,8 +38,8 @@
   request->tenant = stream.tenant();
   r.request = request;
   r.replica = stream.replica();
-  r.came = stream.came_us();
-  r.last_event = stream.last_event_us();
+  r.received_at = stream.came_us();
+  r.last_event_at = stream.last_event_us();
   front_.migrate_in(client, stream, [&](std::shared_ptr<core::ResponseWriter> response_writer) {
     r.response_writer = std::move(response_writer);
     return r.id = broker_.migrated_in(r);
--- a/tests/core/broker_recording_test.cpp
+++ b/tests/core/broker_recording_test.cpp
@@ -589,10 +589,10 @@
 void SimulatedRouter::look_at_running(Wire wire) {
   for (const Broker::MigratableStream& r : migratable_streams(wire)) {
     hash_.add(r.id);
-    hash_.add(r.call.attempt);
+    hash_.add(r.attempt.attempt);
     hash_.add(r.replica);
-    hash_.add(word(r.came));
-    hash_.add(word(r.last_event));
+    hash_.add(word(r.received_at));
+    hash_.add(word(r.last_event_at));
     hash_.add_text(r.request->trace_id);
   }
 }
