--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -30,46 +30,6 @@
 
 constexpr int kPatienceMs = 5000;  // for what must come; no verdict hangs on less
 
-// ---- the core -------------------------------------------------------------------------------------------
-
-// A client that asks and goes within one iteration: the module has asked for an attempt, which is not sent,
-// and is owed its outcome. Seen without: the module counted such an attempt as out for good.
-void a_client_that_leaves_in_the_iteration_it_came_in() {
-  Core c;
-  auto rpc = std::make_shared<core::Request>();
-  rpc->patience = 5 * core::kSecond;
-  rpc->trace_id = "x";
-  const core::RequestId id = c.broker->on_request(rpc, std::make_shared<tests::Answer>());
-  c.broker->on_client_disconnected(id);
-  c.broker->run_iteration();
-  c.broker->run_iteration();
-  CHECK(c.ports.calls.empty());
-  const auto moot = static_cast<std::size_t>(Outcome::moot);
-  CHECK(c.broker->counters().outcomes[moot] == 1);
-  c.broker->drain();
-  c.pass_time(c.limits.drain_accept_window + c.limits.final_response_grace + 10 * core::kMilli);
-  CHECK(c.broker->phase() == core::Phase::stopped);  // nothing is left in the table
-}
-
-// Nothing is written to a replica that drains after its grace, though the process is held up for 0.15 s
-// between its look at the clock and the write; nothing at all where the grace is shorter than that.
-void a_grace_leaves_room_for_a_hold_up() {
-  CHECK(core::write_grace(250 * core::kMilli) == 100 * core::kMilli);
-  CHECK(core::write_grace(100 * core::kMilli) == 0);
-}
-
-// What comes 0.7 s after SIGTERM may be open at SIGKILL; SIGTERM may be seen a hold-up late.
-void a_drain_takes_nothing_that_it_may_not_end() {
-  Core c;
-  CHECK(c.limits.drain_accept_window + core::kHoldUp < 700 * core::kMilli);
-  c.broker->drain();
-  c.pass_time(c.limits.drain_accept_window - 20 * core::kMilli);
-  core::RequestId id = 0;
-  CHECK(c.send(id)->end.empty());
-  c.pass_time(40 * core::kMilli);
-  CHECK(c.send(id)->end == "unavailable");
-}
-
 // ---- lists ----------------------------------------------------------------------------------------------
 
 constexpr char kLine[] = R"({"rev":7,"all":true,"targets":[{"uid":"a}\"{","endpoint":"h:1","n":-1.5e3}]})";
@@ -467,10 +427,7 @@
 }  // namespace
 
 int main() {
-  const std::function<void()> tests[] = {a_client_that_leaves_in_the_iteration_it_came_in,
-                                         a_grace_leaves_room_for_a_hold_up,
-                                         a_drain_takes_nothing_that_it_may_not_end,
-                                         lists_are_told_apart_whatever_their_pieces,
+  const std::function<void()> tests[] = {lists_are_told_apart_whatever_their_pieces,
                                          torn_lists_are_noticed,
                                          starts_are_known_though_the_wall_clock_is_stepped,
                                          an_old_list_proves_nothing_of_the_clock,
