--- a/src/core/actions.h
+++ b/src/core/actions.h
@@ -44,19 +44,19 @@
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
   void attempt(RequestId id, ReplicaId replica, double allow_for) override {
-    actions_.push_back(StartAttempt{id, replica, allow_for});
+    actions_.emplace_back(StartAttempt{id, replica, allow_for});
   }
   void reject(RequestId id, double not_before_for) override {
-    actions_.push_back(RejectRequest{id, not_before_for});
+    actions_.emplace_back(RejectRequest{id, not_before_for});
   }
-  void fail(RequestId id) override { actions_.push_back(FailRequest{id}); }
+  void fail(RequestId id) override { actions_.emplace_back(FailRequest{id}); }
   void stop_attempt(RequestId id, std::uint16_t attempt) override {
-    actions_.push_back(StopAttempt{{id, attempt}});
+    actions_.emplace_back(StopAttempt{{id, attempt}});
   }
   void set_timer(double span, std::uint64_t cookie) override {
-    actions_.push_back(SetModuleTimer{span, cookie});
+    actions_.emplace_back(SetModuleTimer{span, cookie});
   }
-  void subscribe(bool on) override { actions_.push_back(SubscribeToList{on}); }
+  void subscribe(bool on) override { actions_.emplace_back(SubscribeToList{on}); }
 
  private:
   std::vector<Action> actions_;
--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -94,7 +94,7 @@
   const Micros left = request->deadline - context_.now;
   if (request->closed() || request->streaming() || left <= 0) {
     // Never sent; the module learns it in the next iteration.
-    context_.events.push_back(AttemptEnded{id, Outcome::moot, 0, {}});
+    context_.events.emplace_back(AttemptEnded{id, Outcome::moot, 0, {}});
     return;
   }
   ++context_.counters.attempts;
@@ -119,7 +119,7 @@
   // The connection goes now. The module is told the outcome in the next iteration, since it must not be
   // called while its actions are executed.
   context_.replica_client(*running.request).cancel_attempt(id);
-  context_.events.push_back(AttemptEnded{id, Outcome::cancelled, 0, {}});
+  context_.events.emplace_back(AttemptEnded{id, Outcome::cancelled, 0, {}});
 }
 
 void AttemptHandler::cancel_all(RequestId id, std::uint32_t attempts) {
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -105,7 +105,7 @@
     ++context_.counters.answers_of(request->request_class).failed;  // the server tells the client
     return 0;
   }
-  context_.events.push_back(RequestReceived{id, std::move(request), std::move(response_writer)});
+  context_.events.emplace_back(RequestReceived{id, std::move(request), std::move(response_writer)});
   return id;
 }
 
@@ -114,27 +114,27 @@
   ++context_.counters.answers_of(request_class).refused;
 }
 
-void Broker::on_client_disconnected(RequestId id) { context_.events.push_back(ClientDisconnected{id}); }
+void Broker::on_client_disconnected(RequestId id) { context_.events.emplace_back(ClientDisconnected{id}); }
 
-void Broker::on_client_writable(RequestId id) { context_.events.push_back(ClientWritable{id}); }
+void Broker::on_client_writable(RequestId id) { context_.events.emplace_back(ClientWritable{id}); }
 
 void Broker::on_attempt_events(AttemptId id, std::string events) {
-  context_.events.push_back(AttemptEvents{id, std::move(events)});
+  context_.events.emplace_back(AttemptEvents{id, std::move(events)});
 }
 
 void Broker::on_attempt_ended(AttemptId id, Outcome outcome, std::uint32_t cached_tokens,
                               std::vector<float> report) {
-  context_.events.push_back(AttemptEnded{id, outcome, cached_tokens, std::move(report)});
+  context_.events.emplace_back(AttemptEnded{id, outcome, cached_tokens, std::move(report)});
 }
 
-void Broker::on_attempt_rejected(AttemptId id) { context_.events.push_back(AttemptRejected{id}); }
+void Broker::on_attempt_rejected(AttemptId id) { context_.events.emplace_back(AttemptRejected{id}); }
 
 void Broker::on_endpoint_list_update(EndpointListUpdate update) {
-  context_.events.push_back(std::move(update));
+  context_.events.emplace_back(std::move(update));
 }
 
 void Broker::on_health_warning(ReplicaId replica, Micros span) {
-  context_.events.push_back(HealthWarning{replica, span});
+  context_.events.emplace_back(HealthWarning{replica, span});
 }
 
 void Broker::drain(bool has_successor) {
--- a/src/core/endpoint_handler.cpp
+++ b/src/core/endpoint_handler.cpp
@@ -9,6 +9,13 @@
 using policy::Health;
 using policy::ListKind;
 
+namespace {
+
+// As the log names them, by ListKind.
+constexpr std::array<const char*, 4> kListKindNames = {"changes", "known", "whole", "failed"};
+
+}  // namespace
+
 void EndpointHandler::handle(EndpointListUpdate& update) {
   count_and_trace(update);
   context_.endpoints.record_update(update);
@@ -62,15 +69,13 @@
 }
 
 void EndpointHandler::count_and_trace(const EndpointListUpdate& update) {
-  // As the log names them, by ListKind.
-  static constexpr std::array<const char*, 4> kKindNames = {"changes", "known", "whole", "failed"};
   if (update.kind == ListKind::failed) {
     ++context_.counters.list_failures;
   } else {
     ++context_.counters.list_updates;
   }
   context_.trace_event({.kind = TraceEvent::Kind::endpoint_list_update,
-                        .detail = kKindNames[static_cast<std::size_t>(update.kind)],
+                        .detail = kListKindNames[static_cast<std::size_t>(update.kind)],
                         .entries = update.entries.size()});
 }
 
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -54,7 +54,7 @@
   std::unordered_set<ReplicaId> listed;
   for (const Endpoint& entry : update.entries) listed.insert(entry.replica.id);
   for (const auto& [id, known] : endpoints_) {
-    if (listed.count(id) > 0 || known.replica.health == Health::gone) continue;
+    if (listed.contains(id) || known.replica.health == Health::gone) continue;
     update.entries.push_back(known);
     const bool unreadable =
         std::find(update.unreadable.begin(), update.unreadable.end(), id) != update.unreadable.end();
--- a/src/core/final_responder.cpp
+++ b/src/core/final_responder.cpp
@@ -51,7 +51,7 @@
   return close(state);
 }
 
-void FinalResponder::report(const Request& request, Outcome outcome) {
+void FinalResponder::report(const Request& request, Outcome outcome) const {
   if (context_.shared_state != nullptr) context_.shared_state->on_request_finished(request, outcome);
 }
 
--- a/src/core/final_responder.h
+++ b/src/core/final_responder.h
@@ -28,7 +28,7 @@
  private:
   using Outcome = SharedStatePort::RequestOutcome;
   std::shared_ptr<ResponseWriter> close_as(RequestState& state, Outcome outcome);
-  void report(const Request& request, Outcome outcome);
+  void report(const Request& request, Outcome outcome) const;
 
   BrokerContext& context_;
 };
--- a/src/core/overloaded.h
+++ b/src/core/overloaded.h
@@ -8,5 +8,7 @@
 struct Overloaded : Visitors... {
   using Visitors::operator()...;
 };
+template <class... Visitors>
+Overloaded(Visitors...) -> Overloaded<Visitors...>;  // clang 14 does not deduce the arguments of an aggregate
 
 }  // namespace flintglade::core
--- a/src/core/stream_migration.cpp
+++ b/src/core/stream_migration.cpp
@@ -33,7 +33,7 @@
   std::vector<MigratableStream> out;
   for (const auto& [id, state] : context_.requests.all()) {
     if (state.closed() || !state.streaming() || state.client_blocked) continue;
-    if (state.request->wire != wire || with_events.count(id) > 0 || !only_stream_runs(state)) continue;
+    if (state.request->wire != wire || with_events.contains(id) || !only_stream_runs(state)) continue;
     const auto attempt = static_cast<std::uint32_t>(state.streaming_attempt);
     out.push_back({.id = id,
                    .attempt = {id, attempt},
