--- a/src/commands/fleet.cpp
+++ b/src/commands/fleet.cpp
@@ -257,9 +257,9 @@
   }
   if (id == 0) return diagnose(options.file + ": fleet: " + options.router + " is none of the voters");
   if (options.join) voters.clear();
-  why = coordination::FileRaftStorage::create(
-      file.fleet().directory(), coordination::RaftNode::first_memory(file.fleet().name(), id, voters));
-  if (!why.empty()) return diagnose(why);
+  const absl::Status created = coordination::FileRaftStorage::create(
+      file.fleet().directory(), coordination::RaftNode::initial_state(file.fleet().name(), id, voters));
+  if (!created.ok()) return diagnose(std::string(created.message()));
   std::printf("%s: voter %llu of %s\n", file.fleet().directory().c_str(), static_cast<unsigned long long>(id),
               file.fleet().name().c_str());
   return 0;
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-std::string CoordinationProtocol::vote(PersistentState memory, RaftStorage& storage) {
+absl::Status CoordinationProtocol::vote(PersistentState memory, RaftStorage& storage) {
   node_ = std::make_unique<RaftNode>(
       settings_.self.at, std::move(memory), storage, settings_.node, random_(),
       [this](const std::string& at, const Raft& message) {
@@ -40,12 +40,13 @@
         for (const HeldLease& h : applied.renewed) lease_manager_.renewed(now_, command.renew().owner(), h);
         if (command.has_grant() && applied.changed) {
           lease_manager_.granted(now_, applied.job);
-          event("lease_granted", {{"job", applied.job},
-                                  {"number", std::to_string(node_->jobs().table().last_number())},
-                                  {"to", command.grant().owner()}});
+          event("lease_granted",
+                {{"job", applied.job},
+                 {"number", std::to_string(node_->lease_state_machine().table().last_number())},
+                 {"to", command.grant().owner()}});
         }
-        if (!applied.changed || !node_->leads()) return;
-        const Job* job = node_->jobs().find(applied.job);
+        if (!applied.changed || !node_->is_leader()) return;
+        const Job* job = node_->lease_state_machine().find(applied.job);
         if (job == nullptr) return;
         push(job->owner());
         if (!job->wanted().empty()) push(job->wanted());
@@ -68,7 +69,7 @@
 
 Micros CoordinationProtocol::next() const {
   Micros at = std::min(swim_.next(), lease_holder_.next());
-  if (node_) at = std::min({at, node_->next(), lease_manager_.next()});
+  if (node_) at = std::min({at, node_->next_timer(), lease_manager_.next()});
   if (!votes()) at = std::min(at, next_read_);
   return at;
 }
@@ -76,7 +77,7 @@
 void CoordinationProtocol::tick(Micros now) {
   now_ = now;
   swim_.tick(now);
-  if (node_ && now >= node_->next()) node_->tick(now);
+  if (node_ && now >= node_->next_timer()) node_->tick(now);
   settle(now);
 }
 
@@ -94,12 +95,12 @@
           {{"name", settings_.self.name}, {"by", "a process of this name that began later"}}, true);
     lease_holder_.record({}, 0);
   }
-  if (node_ && node_->halted() && !halted_told_) {
+  if (node_ && node_->is_halted() && !halted_told_) {
     halted_told_ = true;
-    event("raft_node_halted", {{"why", node_->why_halted()}, {"votes", "no more, until the next start"}},
+    event("raft_node_halted", {{"why", node_->halt_reason()}, {"votes", "no more, until the next start"}},
           true);
   }
-  const bool leads = node_ && node_->leads();
+  const bool leads = node_ && node_->is_leader();
   if (leads != led_) {
     led_ = leads;
     event(leads ? "leadership_acquired" : "leadership_lost", {{"term", std::to_string(node_->term())}});
@@ -108,18 +109,18 @@
       // What the terms before have left is committed by a first entry of this one.
       Command c;
       c.mutable_renew();
-      node_->propose(now, c, [](bool, const std::string&, const Applied&) {});
+      node_->propose(now, c, [](const absl::Status&, const Applied&) {});
     } else {
       lease_manager_.follows();
     }
   }
   if (leads) {
-    for (const Command& c : lease_manager_.decide(now, node_->jobs(), swim_.living()))
-      node_->propose(now, c, [](bool, const std::string&, const Applied&) {});
+    for (const Command& c : lease_manager_.decide(now, node_->lease_state_machine(), swim_.living()))
+      node_->propose(now, c, [](const absl::Status&, const Applied&) {});
   }
   if (votes()) {
     heard_voter_ = now;
-    leader_at_ = node_->leader_at();
+    leader_at_ = node_->leader_address();
     voters_ = node_->voters().empty() ? voters_ : node_->voters();
   }
   if (!leader_at_.empty()) {
@@ -162,8 +163,8 @@
   }
   // Who leads and goes has another voter lead, once its own jobs are given up: else nobody would grant or
   // renew anything until the others have missed it and held an election.
-  if (leaving_ >= 0 && !handing_ && node_ && node_->leads() && free_of_jobs()) {
-    handing_ = node_->hand_over(now);
+  if (leaving_ >= 0 && !handing_ && node_ && node_->is_leader() && free_of_jobs()) {
+    handing_ = node_->transfer_leadership(now);
     if (handing_) event("leadership_transferred", {{"term", std::to_string(node_->term())}});
   }
   std::erase_if(asked_, [now](const auto& a) { return now - a.second.sent > kForgetAsked; });
@@ -182,12 +183,12 @@
 }
 
 void CoordinationProtocol::ask(Micros now, const Command& command) {
-  if (node_ && node_->leads()) {
+  if (node_ && node_->is_leader()) {
     goes_in(now, command);
     node_->propose(
         now, command,
-        [this, sent = now, renew = command.has_renew()](bool done, const std::string&, const Applied& a) {
-          if (done && renew) lease_holder_.renewed(sent, a.renewed);
+        [this, sent = now, renew = command.has_renew()](const absl::Status& status, const Applied& a) {
+          if (status.ok() && renew) lease_holder_.renewed(sent, a.renewed);
         });
     return;
   }
@@ -221,34 +222,34 @@
 }
 
 void CoordinationProtocol::answer(Micros now, const std::string& to, const Request& request) {
-  const auto reply = [this, to, number = request.number()](bool done, const std::string& why,
+  const auto reply = [this, to, number = request.number()](const absl::Status& status,
                                                            const Applied& applied) {
     Packet p = swim_.packet("");
     Reply& r = *p.mutable_reply();
     r.set_number(number);
-    r.set_done(done);
-    r.set_why(why);
-    if (!done) r.set_leader_at(leader_at_);
+    r.set_done(status.ok());
+    r.set_why(std::string(status.message()));
+    if (!status.ok()) r.set_leader_at(leader_at_);
     for (const HeldLease& h : applied.renewed) *r.add_held() = h;
     send(to, p);
   };
-  if (!node_ || !node_->leads()) {
+  if (!node_ || !node_->is_leader()) {
     if (leader_at_ == settings_.self.at) leader_at_.clear();
-    return reply(false, "not the leader", {});
+    return reply(absl::FailedPreconditionError("not the leader"), {});
   }
-  if (request.has_voter_change()) return node_->change(now, request.voter_change(), reply);
+  if (request.has_voter_change()) return node_->change_voters(now, request.voter_change(), reply);
   // Only the leader grants.
   if (!request.has_command() || request.command().has_grant())
-    return reply(false, "not for routers to ask", {});
+    return reply(absl::FailedPreconditionError("not for routers to ask"), {});
   if (request.command().has_move()) {
-    const Job* job = node_->jobs().find(request.command().move().job());
-    if (job == nullptr) return reply(false, "no such job", {});
+    const Job* job = node_->lease_state_machine().find(request.command().move().job());
+    if (job == nullptr) return reply(absl::FailedPreconditionError("no such job"), {});
     const auto living = swim_.living();
     const bool there = std::any_of(living.begin(), living.end(), [&](const membership::Peer& p) {
       return p.name == request.command().move().to() && p.standing == coordination::ALIVE;
     });
-    if (!there) return reply(false, "no such router is alive", {});
-    if (job->owner() == request.command().move().to()) return reply(true, "", {});
+    if (!there) return reply(absl::FailedPreconditionError("no such router is alive"), {});
+    if (job->owner() == request.command().move().to()) return reply(absl::OkStatus(), {});
   }
   goes_in(now, request.command());
   node_->propose(now, request.command(), reply);
@@ -256,7 +257,7 @@
 
 // What goes into the log counts already for what is decided next.
 void CoordinationProtocol::goes_in(Micros now, const Command& command) {
-  for (const HeldLease& h : node_->jobs().still(command.renew()))
+  for (const HeldLease& h : node_->lease_state_machine().still(command.renew()))
     lease_manager_.renewed(now, command.renew().owner(), h);
 }
 
@@ -446,7 +447,7 @@
 bool CoordinationProtocol::left(Micros now) const {
   if (leaving_ < 0) return false;
   if (now - leaving_ > kMostLeaving) return true;
-  return free_of_jobs() && !(handing_ && node_->leads());
+  return free_of_jobs() && !(handing_ && node_->is_leader());
 }
 
 bool CoordinationProtocol::free_of_jobs() const {
@@ -466,9 +467,9 @@
   s.set_clock_us(now);
   if (node_) {
     s.set_role(node_->role());
-    s.set_why_halted(node_->why_halted());
+    s.set_why_halted(node_->halt_reason());
     s.set_term(node_->term());
-    s.set_index(node_->applied());
+    s.set_index(node_->applied_index());
     s.set_last_index(node_->last_index());
   }
   *s.mutable_table() = table();
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -66,7 +66,7 @@
   CoordinationProtocol(const CoordinationProtocol&) = delete;
   CoordinationProtocol& operator=(const CoordinationProtocol&) = delete;
   // This router votes: memory is what its storage holds. Before start.
-  std::string vote(PersistentState memory, RaftStorage& storage);
+  absl::Status vote(PersistentState memory, RaftStorage& storage);
 
   void start(Micros now);
   void receive(Micros now, const std::string& from, std::string_view bytes);
@@ -93,7 +93,7 @@
 
   const membership::Swim& peers() const { return swim_; }
   const RaftNode* node() const { return node_.get(); }
-  const LeaseTable& table() const { return votes() ? node_->jobs().table() : table_; }
+  const LeaseTable& table() const { return votes() ? node_->lease_state_machine().table() : table_; }
   const FencingTokens& fence() const { return fence_; }
   bool proved(Micros now, const std::string& job) const { return lease_holder_.proved(now, job); }
   // Who owns it by the record; null: nobody, or a router that this one does not know.
@@ -110,7 +110,7 @@
     bool renew = false;
   };
   bool free_of_jobs() const;  // by the record
-  bool votes() const { return node_ && !node_->halted(); }
+  bool votes() const { return node_ && !node_->is_halted(); }
   void send(const std::string& at, const Packet& p);
   void settle(Micros now);  // after each turn: leadership, grants, leases
   void ask(Micros now, const Command& command);
--- a/src/coordination/coordination_runtime.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -95,12 +95,16 @@
     settings_.agent.self.at = config::host_port(settings_.listen.host, port);
   agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
   if (settings_.voter_id != 0) {
-    const std::string why = vote();
-    if (why.empty()) {
+    const absl::Status status = start_voting();
+    if (status.ok()) {
       log::event(Level::info, "raft_node_started",
                  {{"id", settings_.voter_id}, {"directory", settings_.directory}});
     } else {
-      log::event(Level::warn, "raft_node_start_failed", {{"id", settings_.voter_id}, {"why", why}});
+      log::event(Level::warn, "raft_node_start_failed",
+                 {{"id", settings_.voter_id}, {"why", std::string(status.message())}});
+      // Nothing of it takes part: the router follows the other voters.
+      agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
+      storage_.reset();
     }
   }
   log::event(Level::info, "listening",
@@ -115,23 +119,19 @@
   return true;
 }
 
-std::string CoordinationRuntime::vote() {
-  disk_ = std::make_unique<FileRaftStorage>();
-  PersistentState memory;
-  std::string why = disk_->open(settings_.directory, memory);
-  if (why.empty() && memory.head.fleet().empty())
-    why = settings_.directory + " holds no record: 'flintglade fleet init'";
-  if (why.empty() && memory.head.fleet() != settings_.agent.peers.fleet)
-    why = settings_.directory + " is of the fleet " + memory.head.fleet();
-  if (why.empty() && memory.head.id() != settings_.voter_id)
-    why = settings_.directory + " is of the voter " + std::to_string(memory.head.id());
-  if (why.empty()) why = agent_->vote(std::move(memory), *disk_);
-  if (!why.empty()) {
-    // Nothing of it takes part: the router follows the others.
-    agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
-    disk_.reset();
-  }
-  return why;
+absl::Status CoordinationRuntime::start_voting() {
+  storage_ = std::make_unique<FileRaftStorage>();
+  absl::StatusOr<PersistentState> state = storage_->open(settings_.directory);
+  if (!state.ok()) return state.status();
+  const Head& head = state->head;
+  if (head.fleet().empty())
+    return absl::NotFoundError(settings_.directory + " holds no record: 'flintglade fleet init'");
+  if (head.fleet() != settings_.agent.peers.fleet)
+    return absl::FailedPreconditionError(settings_.directory + " is of the fleet " + head.fleet());
+  if (head.id() != settings_.voter_id)
+    return absl::FailedPreconditionError(settings_.directory + " is of the voter " +
+                                         std::to_string(head.id()));
+  return agent_->vote(*std::move(state), *storage_);
 }
 
 void CoordinationRuntime::wait() {
--- a/src/coordination/coordination_runtime.h
+++ b/src/coordination/coordination_runtime.h
@@ -49,7 +49,7 @@
   void read();
   void run_iteration();
   void arm();
-  std::string vote();
+  absl::Status start_voting();
 
   Settings settings_;
   OnWord on_word_;
@@ -58,7 +58,7 @@
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer timer_, again_;
   std::string buffer_;
-  std::unique_ptr<FileRaftStorage> disk_;
+  std::unique_ptr<FileRaftStorage> storage_;
   std::unique_ptr<CoordinationProtocol> agent_;
   std::function<void()> left_;
   bool told_ = false;
--- a/src/coordination/raft_log.cpp
+++ b/src/coordination/raft_log.cpp
@@ -1,25 +1,61 @@
 #include "coordination/raft_log.h"
 
-#include <zlib.h>
-
 #include <algorithm>
+#include <optional>
+
+#include "absl/status/status.h"
+#include "coordination/framed_bytes.h"
 
 namespace flintglade::coordination {
 namespace {
 
-constexpr std::size_t kPrefix = 8;
+// Drops what a snapshot covers, except the entries that it keeps for followers that are slightly behind.
+void drop_entries_before(std::uint64_t first_kept, PersistentState& state) {
+  while (!state.entries.empty() && state.first_index < first_kept) {
+    state.entries.pop_front();
+    ++state.first_index;
+  }
+  if (state.entries.empty()) state.first_index = std::max(state.first_index, first_kept);
+}
+
+// The frame at the start of some bytes.
+struct ParsedFrame {
+  Frame frame;
+  std::size_t payload_bytes = 0;  // as its header says, also where the frame is not valid
+  bool complete = false;          // all bytes that its header announces are there
+  bool valid = false;
+};
 
-void put(std::string& to, std::uint32_t v) {
-  for (int i = 0; i < 4; ++i) to.push_back(static_cast<char>(v >> (8 * i)));
+ParsedFrame parse_frame(std::string_view bytes) {
+  ParsedFrame out;
+  const std::optional<FrameHeader> header = read_frame_header(bytes);
+  if (!header) return out;
+  out.payload_bytes = header->payload_bytes;
+  out.complete = out.payload_bytes <= bytes.size() - kFrameHeaderBytes;
+  if (!out.complete || out.payload_bytes > kMaxFramePayloadBytes) return out;
+  const std::string_view payload = bytes.substr(kFrameHeaderBytes, out.payload_bytes);
+  out.valid = crc32_of(payload) == header->payload_crc32 &&
+              out.frame.ParseFromArray(payload.data(), static_cast<int>(payload.size()));
+  return out;
 }
-std::uint32_t get(std::string_view from) {
-  std::uint32_t v = 0;
-  for (int i = 0; i < 4; ++i) v |= static_cast<std::uint32_t>(static_cast<unsigned char>(from[i])) << (8 * i);
-  return v;
+
+// Only the last write can be torn. A length that reaches past the end of the file may be a damaged one, with
+// good frames behind it; but no write adds a frame larger than the limit.
+bool is_torn_write(const ParsedFrame& parsed, std::size_t bytes_left) {
+  const bool more_behind = parsed.complete && bytes_left > kFrameHeaderBytes + parsed.payload_bytes;
+  return !more_behind && parsed.payload_bytes <= kMaxFramePayloadBytes;
 }
-std::uint32_t checksum(std::string_view bytes) {
-  return static_cast<std::uint32_t>(
-      ::crc32(0, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
+
+// Whether a valid frame may stand where it stands.
+absl::Status check_frame(const Frame& frame, bool is_first, const PersistentState& state) {
+  if (is_first && !frame.has_head()) return absl::DataLossError("does not begin with its head");
+  if (frame.has_head() && frame.head().version() > kRaftLogVersion)
+    return absl::UnimplementedError("of version " + std::to_string(frame.head().version()) +
+                                    ", and this program knows " + std::to_string(kRaftLogVersion));
+  if (frame.has_entry() && frame.entry().index() != state.last_index() + 1)
+    return absl::DataLossError("entry " + std::to_string(frame.entry().index()) + " does not follow " +
+                               std::to_string(state.last_index()));
+  return absl::OkStatus();
 }
 
 }  // namespace
@@ -36,82 +72,57 @@
       entries.push_back(frame.entry());
       break;
     case Frame::kTruncate:
-      while (!entries.empty() && last() >= frame.truncate()) entries.pop_back();
+      while (!entries.empty() && last_index() >= frame.truncate()) entries.pop_back();
       break;
-    case Frame::kSnapshot: {
+    case Frame::kSnapshot:
       snapshot = frame.snapshot();
       has_snapshot = true;
-      while (!entries.empty() && first < snapshot.first_kept()) {
-        entries.pop_front();
-        ++first;
-      }
-      if (entries.empty()) first = std::max(first, snapshot.first_kept());
+      drop_entries_before(snapshot.first_kept(), *this);
       break;
-    }
     default:
       break;
   }
 }
 
-std::string frame_bytes(const Frame& frame) {
-  const std::string message = frame.SerializeAsString();
-  std::string out;
-  put(out, static_cast<std::uint32_t>(message.size()));
-  put(out, checksum(message));
-  return out + message;
-}
+std::string encode_log_frame(const Frame& frame) { return encode_frame(frame.SerializeAsString()); }
 
-std::string all_bytes(const PersistentState& memory) {
+std::string encode_raft_log(const PersistentState& state) {
   std::string out;
-  Frame f;
-  *f.mutable_head() = memory.head;
-  out += frame_bytes(f);
-  *f.mutable_vote() = memory.vote;
-  out += frame_bytes(f);
-  if (memory.has_snapshot) {
-    *f.mutable_snapshot() = memory.snapshot;
-    out += frame_bytes(f);
+  Frame frame;
+  *frame.mutable_head() = state.head;
+  out += encode_log_frame(frame);
+  *frame.mutable_vote() = state.vote;
+  out += encode_log_frame(frame);
+  if (state.has_snapshot) {
+    *frame.mutable_snapshot() = state.snapshot;
+    out += encode_log_frame(frame);
   }
-  for (const Entry& e : memory.entries) {
-    *f.mutable_entry() = e;
-    out += frame_bytes(f);
+  for (const Entry& entry : state.entries) {
+    *frame.mutable_entry() = entry;
+    out += encode_log_frame(frame);
   }
   return out;
 }
 
-std::string read_journal(std::string_view bytes, PersistentState& out, std::size_t& torn) {
-  out = {};
-  torn = 0;
-  if (bytes.size() > kMostJournal) return "larger than any record's file";
-  std::size_t at = 0;
-  while (at < bytes.size()) {
-    const std::string_view rest = bytes.substr(at);
-    const std::size_t length = rest.size() < kPrefix ? 0 : get(rest);
-    Frame frame;
-    const bool whole = rest.size() >= kPrefix && length <= rest.size() - kPrefix;
-    const bool good = whole && length <= kMostFrame &&
-                      checksum(rest.substr(kPrefix, length)) == get(rest.substr(4)) &&
-                      frame.ParseFromArray(rest.data() + kPrefix, static_cast<int>(length));
-    if (!good) {
-      // Only the last write can be torn. A length that reaches past the end may be a damaged one, with good
-      // frames behind it; a frame is never larger than what one write adds.
-      if (at == 0) return "not a voter's file, or its beginning is damaged";
-      if ((whole && rest.size() > kPrefix + length) || length > kMostFrame)
-        return "damaged at byte " + std::to_string(at) + " of " + std::to_string(bytes.size());
-      torn = rest.size();
-      return "";
+absl::StatusOr<DecodedRaftLog> decode_raft_log(std::string_view bytes) {
+  if (bytes.size() > kMaxRaftLogBytes) return absl::ResourceExhaustedError("larger than any record's file");
+  DecodedRaftLog out;
+  for (std::size_t offset = 0; offset < bytes.size();) {
+    const std::size_t bytes_left = bytes.size() - offset;
+    const ParsedFrame parsed = parse_frame(bytes.substr(offset));
+    if (!parsed.valid) {
+      if (offset == 0) return absl::DataLossError("not a voter's file, or its beginning is damaged");
+      if (!is_torn_write(parsed, bytes_left))
+        return absl::DataLossError("damaged at byte " + std::to_string(offset) + " of " +
+                                   std::to_string(bytes.size()));
+      out.torn_bytes = bytes_left;
+      return out;
     }
-    if (at == 0 && !frame.has_head()) return "does not begin with its head";
-    if (frame.has_head() && frame.head().version() > kJournalVersion)
-      return "of version " + std::to_string(frame.head().version()) + ", and this program knows " +
-             std::to_string(kJournalVersion);
-    if (frame.has_entry() && frame.entry().index() != out.last() + 1)
-      return "entry " + std::to_string(frame.entry().index()) + " does not follow " +
-             std::to_string(out.last());
-    out.apply(frame);
-    at += kPrefix + length;
+    if (absl::Status status = check_frame(parsed.frame, offset == 0, out.state); !status.ok()) return status;
+    out.state.apply(parsed.frame);
+    offset += kFrameHeaderBytes + parsed.payload_bytes;
   }
-  return "";
+  return out;
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/raft_node.cpp
+++ b/src/coordination/raft_node.cpp
@@ -1,305 +1,103 @@
 #include "coordination/raft_node.h"
 
-#include <algorithm>
-#include <cstring>
 #include <utility>
 
+#include "coordination/raft_message_codec.h"
+
 namespace flintglade::coordination {
 namespace {
 
-constexpr unsigned kTickMs = 20;
-// The record is some kilobytes, so a snapshot is cheap and the log stays short enough for one datagram.
-constexpr unsigned kSnapshotAfter = 256, kTrailing = 64;
-constexpr std::size_t kMostInMessage = 48u << 10;
-
-void* copied(const std::string& bytes) {
-  void* to = raft_malloc(std::max<std::size_t>(1, bytes.size()));
-  if (to != nullptr && !bytes.empty()) std::memcpy(to, bytes.data(), bytes.size());
-  return to;
-}
+constexpr Micros kTickPeriod = 20 * core::kMilli;
+// The lease table is some kilobytes, so a snapshot is cheap, and the log stays short enough for one datagram.
+constexpr unsigned kEntriesPerSnapshot = 256;
+constexpr unsigned kEntriesKeptBySnapshot = 64;
 
-void fill(const raft_configuration& from, google::protobuf::RepeatedPtrField<Server>& to) {
-  for (unsigned i = 0; i < from.n; ++i) {
-    Server* s = to.Add();
-    s->set_id(from.servers[i].id);
-    s->set_at(from.servers[i].address);
-    s->set_role(from.servers[i].role);
-  }
-}
-int make(const google::protobuf::RepeatedPtrField<Server>& from, raft_configuration& to) {
-  raft_configuration_init(&to);
-  for (const Server& s : from) {
-    if (const int rc = raft_configuration_add(&to, s.id(), s.at().c_str(), s.role()); rc != 0) {
-      raft_configuration_close(&to);
-      return rc;
-    }
-  }
-  return 0;
-}
-Entry entry_of(std::uint64_t index, const raft_entry& from) {
-  Entry e;
-  e.set_index(index);
-  e.set_term(from.term);
-  e.set_type(from.type);
-  e.set_data(from.buf.base, from.buf.len);
-  return e;
-}
-// All bytes in one batch, as the library frees them: of a message that it does not take, it frees the first
-// one's.
-raft_entry* entries_of(const auto& from) {
-  if (from.empty()) return nullptr;
-  auto* out =
-      static_cast<raft_entry*>(raft_calloc(static_cast<std::size_t>(from.size()), sizeof(raft_entry)));
-  std::string all;
-  for (const Entry& e : from) all += e.data();
-  char* batch = static_cast<char*>(copied(all));
-  std::size_t i = 0, at = 0;
-  for (const Entry& e : from) {
-    out[i].term = e.term();
-    out[i].type = static_cast<unsigned short>(e.type());
-    out[i].buf = {batch + at, e.data().size()};
-    out[i].batch = batch;
-    at += e.data().size();
-    ++i;
-  }
-  return out;
+absl::Status library_error(int error) {
+  return error == 0 ? absl::OkStatus() : absl::UnavailableError(raft_strerror(error));
 }
 
 }  // namespace
 
-struct RaftNode::Io {
-  raft_io io{};
-  RaftNode* node;
-  raft_io_tick_cb tick = nullptr;
-  raft_io_recv_cb receive = nullptr;
-
-  explicit Io(RaftNode* owner) : node(owner) {
-    io.version = 1;
-    io.impl = this;
-    io.init = [](raft_io*, raft_id, const char*) { return 0; };
-    io.close = [](raft_io* of, raft_io_close_cb cb) {
-      self(of).node->waiting_.emplace_back([of, cb] { cb(of); });
-    };
-    io.load = load;
-    io.start = [](raft_io* of, unsigned msecs, raft_io_tick_cb on_tick, raft_io_recv_cb on_receive) {
-      (void)msecs;
-      self(of).tick = on_tick;
-      self(of).receive = on_receive;
-      return 0;
-    };
-    io.bootstrap = [](raft_io*, const raft_configuration*) { return RAFT_CANTBOOTSTRAP; };
-    io.recover = [](raft_io*, const raft_configuration*) { return RAFT_CANTBOOTSTRAP; };
-    io.set_term = [](raft_io* of, raft_term term) {
-      Frame f;
-      f.mutable_vote()->set_term(term);
-      return self(of).node->store(f) ? 0 : RAFT_IOERR;
-    };
-    io.set_vote = [](raft_io* of, raft_id whom) {
-      Frame f;
-      f.mutable_vote()->set_term(self(of).node->memory_.vote.term());
-      f.mutable_vote()->set_voted_for(whom);
-      return self(of).node->store(f) ? 0 : RAFT_IOERR;
-    };
-    io.send = [](raft_io* of, raft_io_send* req, const raft_message* m, raft_io_send_cb cb) {
-      RaftNode& node = *self(of).node;
-      const Raft message = node.encode(*m);
-      if (message.ByteSizeLong() <= kMostInMessage) node.send_(m->server_address, message);
-      // Nobody waits for the word that hands the lead over.
-      if (cb != nullptr) node.waiting_.emplace_back([req, cb] { cb(req, 0); });
-      return 0;
-    };
-    io.append = [](raft_io* of, raft_io_append* req, const raft_entry entries[], unsigned n,
-                   raft_io_append_cb cb) {
-      RaftNode& node = *self(of).node;
-      std::string bytes;
-      for (unsigned i = 0; i < n; ++i) {
-        Frame f;
-        *f.mutable_entry() = entry_of(node.memory_.last() + 1, entries[i]);
-        node.memory_.apply(f);
-        bytes += frame_bytes(f);
-      }
-      const std::string why = node.halted_.empty() ? node.storage_.append(bytes) : node.halted_;
-      if (!why.empty()) node.halt(why);
-      node.waiting_.emplace_back([req, cb, good = why.empty()] { cb(req, good ? 0 : RAFT_IOERR); });
-      return 0;
-    };
-    io.truncate = [](raft_io* of, raft_index from) {
-      Frame f;
-      f.set_truncate(from);
-      return self(of).node->store(f) ? 0 : RAFT_IOERR;
-    };
-    io.snapshot_put = snapshot_put;
-    io.snapshot_get = [](raft_io* of, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
-      RaftNode& node = *self(of).node;
-      node.waiting_.emplace_back([&node, req, cb] {
-        raft_snapshot* s = nullptr;
-        const int rc = make_snapshot(node.memory_, s);
-        cb(req, s, rc);
-      });
-      return 0;
-    };
-    io.time = [](raft_io* of) { return static_cast<raft_time>(self(of).node->now_ / core::kMilli); };
-    io.random = [](raft_io* of, int min, int max) {
-      return std::uniform_int_distribution<int>(min, max)(self(of).node->random_);
-    };
-  }
-
-  static Io& self(raft_io* of) { return *static_cast<Io*>(of->impl); }
-
-  static int make_snapshot(const PersistentState& memory, raft_snapshot*& out) {
-    auto* s = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-    s->index = memory.snapshot.index();
-    s->term = memory.snapshot.term();
-    s->configuration_index = memory.snapshot.conf_index();
-    if (const int rc = make(memory.snapshot.servers(), s->configuration); rc != 0) {
-      raft_free(s);
-      return rc;
-    }
-    s->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    s->bufs[0] = {copied(memory.snapshot.data()), memory.snapshot.data().size()};
-    s->n_bufs = 1;
-    out = s;
-    return 0;
-  }
-
-  static int load(raft_io* of, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
-                  raft_index* start_index, raft_entry* entries[], std::size_t* n) {
-    const PersistentState& m = self(of).node->memory_;
-    *term = m.vote.term();
-    *voted_for = m.vote.voted_for();
-    *snapshot = nullptr;
-    if (m.has_snapshot) {
-      if (const int rc = make_snapshot(m, *snapshot); rc != 0) return rc;
-    }
-    *start_index = m.first;
-    *n = m.entries.size();
-    *entries = entries_of(m.entries);
-    return 0;
-  }
-
-  static int snapshot_put(raft_io* of, unsigned trailing, raft_io_snapshot_put* req,
-                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
-    RaftNode& node = *self(of).node;
-    Frame f;
-    Snapshot& s = *f.mutable_snapshot();
-    s.set_index(snapshot->index);
-    s.set_term(snapshot->term);
-    s.set_conf_index(snapshot->configuration_index);
-    fill(snapshot->configuration, *s.mutable_servers());
-    for (unsigned i = 0; i < snapshot->n_bufs; ++i)
-      s.mutable_data()->append(static_cast<const char*>(snapshot->bufs[i].base), snapshot->bufs[i].len);
-    const std::uint64_t index = snapshot->index;
-    if (trailing == 0) {  // in place of all that is there
-      node.memory_.entries.clear();
-      node.memory_.first = index + 1;
-      s.set_first_kept(index + 1);
-    } else {
-      s.set_first_kept(std::max(node.memory_.first, index > trailing ? index - trailing + 1 : 1));
-    }
-    node.memory_.apply(f);
-    const std::string why =
-        node.halted_.empty() ? node.storage_.rewrite(all_bytes(node.memory_)) : node.halted_;
-    if (!why.empty()) node.halt(why);
-    node.waiting_.emplace_back([req, cb, good = why.empty()] { cb(req, good ? 0 : RAFT_IOERR); });
-    return 0;
-  }
-};
-
-RaftNode::RaftNode(std::string at, PersistentState memory, RaftStorage& storage, RaftTimes times,
-                   std::uint64_t seed, Send send, OnApply on_apply)
-    : at_(std::move(at)),
-      memory_(std::move(memory)),
-      storage_(storage),
+RaftNode::RaftNode(std::string address, PersistentState state, RaftStorage& storage, RaftTimes times,
+                   std::uint64_t seed, SendFunction send, OnApply on_apply)
+    : address_(std::move(address)),
       times_(times),
-      random_(seed),
-      send_(std::move(send)),
       on_apply_(std::move(on_apply)),
-      io_(std::make_unique<Io>(this)) {
+      io_(address_, std::move(state), storage, seed, std::move(send), [this] { next_tick_ = core::kNever; }) {
   fsm_.version = 1;
   fsm_.data = this;
-  fsm_.apply = [](raft_fsm* of, const raft_buffer* buf, void** result) {
-    RaftNode& node = *static_cast<RaftNode*>(of->data);
-    Command command;
-    Applied applied;
-    if (command.ParseFromArray(buf->base, static_cast<int>(buf->len))) applied = node.jobs_.apply(command);
-    // The word to the proposer comes next, with this in hand.
-    static thread_local Applied kept;
-    kept = applied;
-    *result = &kept;
-    if (node.on_apply_) node.on_apply_(command, applied);
-    return 0;
-  };
-  fsm_.snapshot = [](raft_fsm* of, raft_buffer* bufs[], unsigned* n) {
-    const std::string bytes = static_cast<RaftNode*>(of->data)->jobs_.save();
-    *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    (*bufs)[0] = {copied(bytes), bytes.size()};
-    *n = 1;
-    return 0;
-  };
-  fsm_.restore = [](raft_fsm* of, raft_buffer* buf) {
-    const bool good =
-        static_cast<RaftNode*>(of->data)->jobs_.load({static_cast<const char*>(buf->base), buf->len});
-    raft_free(buf->base);
-    return good ? 0 : RAFT_MALFORMED;
-  };
+  fsm_.apply = apply_command;
+  fsm_.snapshot = save_snapshot;
+  fsm_.restore = restore_snapshot;
 }
 
 RaftNode::~RaftNode() {
-  if (!started_) return;
-  raft_close(&raft_, [](raft* of) { static_cast<RaftNode*>(of->data)->closed_ = true; });
-  while (!closed_ && !waiting_.empty()) settle();
-  changing_.reset();
+  if (!is_started_) return;
+  raft_close(&raft_, [](raft* library) { static_cast<RaftNode*>(library->data)->is_closed_ = true; });
+  while (!is_closed_ && io_.has_callbacks()) io_.run_callbacks();
+  pending_voter_change_.reset();
 }
 
-std::string RaftNode::start(Micros now) {
-  now_ = now;
-  int rc = raft_init(&raft_, &io_->io, &fsm_, memory_.head.id(), at_.c_str());
-  if (rc != 0) return raft_strerror(rc);
+absl::Status RaftNode::start(Micros now) {
+  set_time(now);
+  int error = raft_init(&raft_, io_.library_handle(), &fsm_, id(), address_.c_str());
+  if (error != 0) return library_error(error);
   raft_.data = this;
   raft_set_election_timeout(&raft_, times_.election_ms);
   raft_set_heartbeat_timeout(&raft_, times_.heartbeat_ms);
-  raft_set_snapshot_threshold(&raft_, kSnapshotAfter);
-  raft_set_snapshot_trailing(&raft_, kTrailing);
-  raft_set_pre_vote(&raft_, true);  // one that was cut off does not unseat a leader at its return
-  rc = raft_start(&raft_);
-  started_ = true;
-  if (rc != 0) return std::string(raft_strerror(rc)) + ": " + raft_errmsg(&raft_);
-  settle();
-  next_ = now + kTickMs * core::kMilli;
-  return "";
+  raft_set_snapshot_threshold(&raft_, kEntriesPerSnapshot);
+  raft_set_snapshot_trailing(&raft_, kEntriesKeptBySnapshot);
+  raft_set_pre_vote(&raft_, true);  // a voter that was cut off does not unseat the leader at its return
+  error = raft_start(&raft_);
+  is_started_ = true;
+  if (error != 0)
+    return absl::UnavailableError(std::string(raft_strerror(error)) + ": " + raft_errmsg(&raft_));
+  io_.run_callbacks();
+  next_tick_ = now + kTickPeriod;
+  return absl::OkStatus();
 }
 
 void RaftNode::tick(Micros now) {
-  if (!halted_.empty() || !started_) return;
-  now_ = now;
-  next_ = now + kTickMs * core::kMilli;
-  io_->tick(&io_->io);
-  settle();
+  if (is_halted() || !is_started_) return;
+  set_time(now);
+  next_tick_ = now + kTickPeriod;
+  io_.tick();
+  io_.run_callbacks();
+}
+
+int RaftNode::apply_command(raft_fsm* fsm, const raft_buffer* buffer, void** result) {
+  RaftNode& node = *static_cast<RaftNode*>(fsm->data);
+  Command command;
+  Applied applied;
+  if (command.ParseFromArray(buffer->base, static_cast<int>(buffer->len)))
+    applied = node.lease_state_machine_.apply(command);
+  // The library calls on_proposal_done next, with this pointer.
+  static thread_local Applied last_applied;
+  last_applied = applied;
+  *result = &last_applied;
+  if (node.on_apply_) node.on_apply_(command, applied);
+  return 0;
 }
 
-void RaftNode::settle() {
-  while (!waiting_.empty()) {
-    const auto first = std::move(waiting_.front());
-    waiting_.pop_front();
-    first();
-  }
+int RaftNode::save_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* buffer_count) {
+  const std::string bytes = static_cast<RaftNode*>(fsm->data)->lease_state_machine_.save();
+  *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+  (*buffers)[0] = make_raft_buffer(bytes);
+  *buffer_count = 1;
+  return 0;
 }
 
-bool RaftNode::store(const Frame& frame) {
-  memory_.apply(frame);
-  const std::string why = halted_.empty() ? storage_.append(frame_bytes(frame)) : halted_;
-  if (!why.empty()) halt(why);
-  return why.empty();
+int RaftNode::restore_snapshot(raft_fsm* fsm, raft_buffer* buffer) {
+  LeaseStateMachine& machine = static_cast<RaftNode*>(fsm->data)->lease_state_machine_;
+  const bool parsed = machine.load({static_cast<const char*>(buffer->base), buffer->len});
+  raft_free(buffer->base);
+  return parsed ? 0 : RAFT_MALFORMED;
 }
 
-void RaftNode::halt(const std::string& why) {
-  if (halted_.empty()) halted_ = why.empty() ? "halted" : why;
-  next_ = core::kNever;
-}
+bool RaftNode::is_leader() const { return !is_halted() && is_started_ && raft_.state == RAFT_LEADER; }
 
-bool RaftNode::leads() const { return halted_.empty() && started_ && raft_.state == RAFT_LEADER; }
 std::string RaftNode::role() const {
-  if (!halted_.empty()) return "halted";
+  if (is_halted()) return "halted";
   switch (raft_.state) {
     case RAFT_LEADER:
       return "leader";
@@ -309,220 +107,135 @@
       return "follower";
   }
 }
-std::string RaftNode::leader_at() const {
+
+std::string RaftNode::leader_address() const {
   raft_id id = 0;
-  const char* at = nullptr;
-  if (started_ && halted_.empty()) raft_leader(const_cast<raft*>(&raft_), &id, &at);
-  return at == nullptr ? "" : at;
+  const char* address = nullptr;
+  if (is_started_ && !is_halted()) raft_leader(const_cast<raft*>(&raft_), &id, &address);
+  return address == nullptr ? "" : address;
 }
+
 std::vector<Voter> RaftNode::voters() const {
   std::vector<Voter> out;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
-    Voter v;
-    v.set_id(raft_.configuration.servers[i].id);
-    v.set_at(raft_.configuration.servers[i].address);
-    v.set_votes(raft_.configuration.servers[i].role == RAFT_VOTER);
-    out.push_back(v);
+    Voter voter;
+    voter.set_id(raft_.configuration.servers[i].id);
+    voter.set_at(raft_.configuration.servers[i].address);
+    voter.set_votes(raft_.configuration.servers[i].role == RAFT_VOTER);
+    out.push_back(voter);
   }
   return out;
 }
 
-void RaftNode::propose(Micros now, const Command& command, Done done) {
-  now_ = now;
-  if (!leads()) return done(false, "not the leader", {});
-  const std::string bytes = command.SerializeAsString();
-  raft_buffer buffer{copied(bytes), bytes.size()};
-  auto* p = new Proposal{{}, this, std::move(done)};
-  p->request.data = p;
-  const int rc =
-      raft_apply(&raft_, &p->request, &buffer, 1, [](struct raft_apply* req, int status, void* result) {
-        const std::unique_ptr<Proposal> own(static_cast<Proposal*>(req->data));
-        const Applied applied = status == 0 && result != nullptr ? *static_cast<Applied*>(result) : Applied{};
-        own->done(status == 0, status == 0 ? "" : raft_strerror(status), applied);
-      });
-  if (rc != 0) {
-    const std::unique_ptr<Proposal> own(p);
+void RaftNode::propose(Micros now, const Command& command, ProposalCallback done) {
+  set_time(now);
+  if (!is_leader()) return done(absl::FailedPreconditionError("not the leader"), {});
+  raft_buffer buffer = make_raft_buffer(command.SerializeAsString());
+  auto proposal = std::make_unique<Proposal>(Proposal{{}, std::move(done)});
+  proposal->request.data = proposal.get();
+  const int error = raft_apply(&raft_, &proposal->request, &buffer, 1, on_proposal_done);
+  if (error == 0) {
+    (void)proposal.release();  // on_proposal_done takes it
+  } else {
     raft_free(buffer.base);
-    own->done(false, raft_strerror(rc), {});
+    proposal->done(library_error(error), {});
   }
-  settle();
+  io_.run_callbacks();
 }
 
-void RaftNode::change(Micros now, const VoterChange& change, Done done) {
-  now_ = now;
-  if (!leads()) return done(false, "not the leader", {});
-  if (changing_) return done(false, "another change of voters is under way", {});
-  changing_ = std::make_unique<Changing>(Changing{{}, this, std::move(done), change.id()});
-  changing_->request.data = changing_.get();
-  static constexpr raft_change_cb ended = [](raft_change* req, int status) {
-    RaftNode& node = *static_cast<Changing*>(req->data)->node;
-    const std::unique_ptr<Changing> own = std::move(node.changing_);
-    own->done(status == 0, status == 0 ? "" : raft_strerror(status), {});
-  };
-  int rc = 0;
-  if (change.add()) {
-    rc = raft_add(&raft_, &changing_->request, change.id(), change.at().c_str(),
-                  [](raft_change* req, int status) {
-                    auto* c = static_cast<Changing*>(req->data);
-                    RaftNode& node = *c->node;
-                    if (status == 0) status = raft_assign(&node.raft_, req, c->id, RAFT_VOTER, ended);
-                    if (status != 0) ended(req, status);
-                  });
-  } else {
-    rc = raft_remove(&raft_, &changing_->request, change.id(), ended);
-  }
-  if (rc != 0) ended(&changing_->request, rc);
-  settle();
+void RaftNode::on_proposal_done(struct raft_apply* request, int error, void* result) {
+  const std::unique_ptr<Proposal> proposal(static_cast<Proposal*>(request->data));
+  const Applied applied = error == 0 && result != nullptr ? *static_cast<Applied*>(result) : Applied{};
+  proposal->done(library_error(error), applied);
 }
 
-bool RaftNode::hand_over(Micros now) {
-  now_ = now;
-  if (!leads() || transfers_) return false;
-  transfer_.data = this;
-  const int rc = raft_transfer(&raft_, &transfer_, 0, [](struct raft_transfer* req) {
-    static_cast<RaftNode*>(req->data)->transfers_ = false;
-  });
-  transfers_ = rc == 0;
-  settle();
-  return rc == 0;
+void RaftNode::change_voters(Micros now, const VoterChange& change, ProposalCallback done) {
+  set_time(now);
+  if (!is_leader()) return done(absl::FailedPreconditionError("not the leader"), {});
+  if (pending_voter_change_) return done(absl::UnavailableError("another change of voters is under way"), {});
+  pending_voter_change_ =
+      std::make_unique<PendingVoterChange>(PendingVoterChange{{}, this, std::move(done), change.id()});
+  raft_change* request = &pending_voter_change_->request;
+  request->data = pending_voter_change_.get();
+  const int error = change.add() ? raft_add(&raft_, request, change.id(), change.at().c_str(), on_voter_added)
+                                 : raft_remove(&raft_, request, change.id(), on_voter_change_done);
+  if (error != 0) on_voter_change_done(request, error);
+  io_.run_callbacks();
 }
 
-// ---- messages
+void RaftNode::on_voter_added(raft_change* request, int error) {
+  auto* change = static_cast<PendingVoterChange*>(request->data);
+  if (error == 0)
+    error = raft_assign(&change->node->raft_, request, change->voter_id, RAFT_VOTER, on_voter_change_done);
+  if (error != 0) on_voter_change_done(request, error);
+}
 
-Raft RaftNode::encode(const raft_message& m) const {
-  Raft out;
-  out.set_sender(memory_.head.id());
-  out.set_receiver(m.server_id);
-  out.set_sender_at(at_);
-  out.set_type(m.type);
-  switch (m.type) {
-    case RAFT_IO_REQUEST_VOTE:
-      out.set_term(m.request_vote.term);
-      out.set_candidate(m.request_vote.candidate_id);
-      out.set_last_index(m.request_vote.last_log_index);
-      out.set_last_term(m.request_vote.last_log_term);
-      out.set_disrupt_leader(m.request_vote.disrupt_leader);
-      out.set_pre_vote(m.request_vote.pre_vote);
-      break;
-    case RAFT_IO_REQUEST_VOTE_RESULT:
-      out.set_term(m.request_vote_result.term);
-      out.set_granted(m.request_vote_result.vote_granted);
-      out.set_pre_vote_answer(static_cast<std::uint32_t>(m.request_vote_result.pre_vote));
-      break;
-    case RAFT_IO_APPEND_ENTRIES:
-      out.set_term(m.append_entries.term);
-      out.set_previous_index(m.append_entries.prev_log_index);
-      out.set_previous_term(m.append_entries.prev_log_term);
-      out.set_commit(m.append_entries.leader_commit);
-      for (unsigned i = 0; i < m.append_entries.n_entries; ++i)
-        *out.add_entries() = entry_of(m.append_entries.prev_log_index + 1 + i, m.append_entries.entries[i]);
-      break;
-    case RAFT_IO_APPEND_ENTRIES_RESULT:
-      out.set_term(m.append_entries_result.term);
-      out.set_rejected(m.append_entries_result.rejected);
-      out.set_last_index(m.append_entries_result.last_log_index);
-      break;
-    case RAFT_IO_INSTALL_SNAPSHOT:
-      out.set_term(m.install_snapshot.term);
-      out.set_last_index(m.install_snapshot.last_index);
-      out.set_last_term(m.install_snapshot.last_term);
-      out.set_conf_index(m.install_snapshot.conf_index);
-      fill(m.install_snapshot.conf, *out.mutable_servers());
-      out.set_data(m.install_snapshot.data.base, m.install_snapshot.data.len);
-      break;
-    case RAFT_IO_TIMEOUT_NOW:
-      out.set_term(m.timeout_now.term);
-      out.set_last_index(m.timeout_now.last_log_index);
-      out.set_last_term(m.timeout_now.last_log_term);
-      break;
-    default:
-      break;
-  }
-  return out;
+void RaftNode::on_voter_change_done(raft_change* request, int error) {
+  RaftNode& node = *static_cast<PendingVoterChange*>(request->data)->node;
+  const std::unique_ptr<PendingVoterChange> change = std::move(node.pending_voter_change_);
+  change->done(library_error(error), {});
+}
+
+bool RaftNode::transfer_leadership(Micros now) {
+  set_time(now);
+  if (!is_leader() || is_transferring_) return false;
+  transfer_request_.data = this;
+  const raft_id any_voter = 0;
+  const int error = raft_transfer(&raft_, &transfer_request_, any_voter, [](struct raft_transfer* request) {
+    static_cast<RaftNode*>(request->data)->is_transferring_ = false;
+  });
+  is_transferring_ = error == 0;
+  io_.run_callbacks();
+  return error == 0;
 }
 
-void RaftNode::receive(Micros now, const Raft& in) {
-  if (!halted_.empty() || !started_ || in.receiver() != id() || in.sender() == id()) return;
-  now_ = now;
-  // Only from servers that the configuration knows, but for one that knows none yet.
-  std::string from;
+std::string RaftNode::address_of(std::uint64_t id) const {
+  std::string out;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
-    if (raft_.configuration.servers[i].id == in.sender()) from = raft_.configuration.servers[i].address;
+    if (raft_.configuration.servers[i].id == id) out = raft_.configuration.servers[i].address;
   }
-  if (from.empty()) {
+  return out;
+}
+
+void RaftNode::receive(Micros now, const Raft& message) {
+  if (is_halted() || !is_started_ || message.receiver() != id() || message.sender() == id()) return;
+  set_time(now);
+  // Only from servers of the configuration; but a voter that has none yet takes messages from any.
+  std::string sender_address = address_of(message.sender());
+  if (sender_address.empty()) {
     if (raft_.configuration.n > 0) return;
-    from = in.sender_at();
-  }
-  raft_message m{};
-  m.type = static_cast<unsigned short>(in.type());
-  m.server_id = in.sender();
-  m.server_address = from.c_str();
-  switch (in.type()) {
-    case RAFT_IO_REQUEST_VOTE:
-      m.request_vote = {in.term(),      in.candidate(),      in.last_index(),
-                        in.last_term(), in.disrupt_leader(), in.pre_vote()};
-      break;
-    case RAFT_IO_REQUEST_VOTE_RESULT:
-      if (in.pre_vote_answer() > raft_tribool_false) return;
-      m.request_vote_result = {in.term(), in.granted(), static_cast<raft_tribool>(in.pre_vote_answer())};
-      break;
-    case RAFT_IO_APPEND_ENTRIES: {
-      std::uint64_t index = in.previous_index();
-      for (const Entry& e : in.entries()) {
-        if (e.index() != ++index || e.type() < RAFT_COMMAND || e.type() > RAFT_CHANGE) return;
-      }
-      m.append_entries.term = in.term();
-      m.append_entries.prev_log_index = in.previous_index();
-      m.append_entries.prev_log_term = in.previous_term();
-      m.append_entries.leader_commit = in.commit();
-      m.append_entries.entries = entries_of(in.entries());
-      m.append_entries.n_entries = static_cast<unsigned>(in.entries_size());
-      break;
-    }
-    case RAFT_IO_APPEND_ENTRIES_RESULT:
-      m.append_entries_result = {in.term(), in.rejected(), in.last_index()};
-      break;
-    case RAFT_IO_INSTALL_SNAPSHOT:
-      m.install_snapshot.term = in.term();
-      m.install_snapshot.last_index = in.last_index();
-      m.install_snapshot.last_term = in.last_term();
-      m.install_snapshot.conf_index = in.conf_index();
-      if (make(in.servers(), m.install_snapshot.conf) != 0) return;
-      m.install_snapshot.data = {copied(in.data()), in.data().size()};
-      break;
-    case RAFT_IO_TIMEOUT_NOW:
-      m.timeout_now = {in.term(), in.last_index(), in.last_term()};
-      break;
-    default:
-      return;
+    sender_address = message.sender_at();
   }
-  io_->receive(&io_->io, &m);
-  settle();
+  std::optional<raft_message> decoded = decode_raft_message(message, sender_address);
+  if (!decoded) return;
+  io_.receive(*decoded);
+  io_.run_callbacks();
 }
 
-PersistentState RaftNode::first_memory(const std::string& fleet, std::uint64_t id,
-                                       const std::vector<Voter>& voters) {
+PersistentState RaftNode::initial_state(const std::string& fleet, std::uint64_t id,
+                                        const std::vector<Voter>& voters) {
   PersistentState out;
   out.head.set_fleet(fleet);
   out.head.set_id(id);
-  out.head.set_version(kJournalVersion);
+  out.head.set_version(kRaftLogVersion);
   if (voters.empty()) return out;
-  raft_configuration conf;
-  raft_configuration_init(&conf);
-  for (const Voter& v : voters) raft_configuration_add(&conf, v.id(), v.at().c_str(), RAFT_VOTER);
+  raft_configuration configuration;
+  raft_configuration_init(&configuration);
+  for (const Voter& voter : voters)
+    raft_configuration_add(&configuration, voter.id(), voter.at().c_str(), RAFT_VOTER);
   raft_buffer buffer{};
-  if (raft_configuration_encode(&conf, &buffer) == 0) {
-    Frame f;
-    Entry* e = f.mutable_entry();
-    e->set_index(1);
-    e->set_term(1);
-    e->set_type(RAFT_CHANGE);
-    e->set_data(buffer.base, buffer.len);
-    out.apply(f);
+  if (raft_configuration_encode(&configuration, &buffer) == 0) {
+    Frame frame;
+    Entry* entry = frame.mutable_entry();
+    entry->set_index(1);
+    entry->set_term(1);
+    entry->set_type(RAFT_CHANGE);
+    entry->set_data(buffer.base, buffer.len);
+    out.apply(frame);
     out.vote.set_term(1);
     raft_free(buffer.base);
   }
-  raft_configuration_close(&conf);
+  raft_configuration_close(&configuration);
   return out;
 }
 
--- a/src/coordination/raft_node.h
+++ b/src/coordination/raft_node.h
@@ -1,113 +1,121 @@
-// One voter: C-Raft (Debian's libraft) with its disk and network handed in. What is to be stored goes to a
-// Storage that answers at once; what is to be sent is taken out; time is handed in. So a whole group of
-// voters can run in one test, on one clock.
+// One voter: C-Raft (Debian's libraft) over the lease state machine.
+//
+// Does no I/O of its own: bytes to keep go to a RaftStorage, messages to a function, time is handed in, so
+// that a whole group of voters can run in one test on one clock. One thread.
 //
 // A write that fails halts the voter until its process starts again: it votes and answers no more.
 #pragma once
 
 extern "C" {
-#include <raft.h>  // says nothing of C++
+#include <raft.h>  // has no guard of its own for C++
 }
 
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <memory>
-#include <random>
 #include <string>
 #include <vector>
 
+#include "absl/status/status.h"
 #include "coordination/lease_state_machine.h"
+#include "coordination/raft_library_io.h"
 #include "coordination/raft_storage.h"
 #include "core/ports.h"
 
 namespace flintglade::coordination {
 
-using core::Micros;
-
+// Raft's timeouts, in ms as the library takes them.
 struct RaftTimes {
   unsigned election_ms = 1000, heartbeat_ms = 100;
 };
 
 class RaftNode {
  public:
-  using Send = std::function<void(const std::string& at, const Raft& message)>;
+  using SendFunction = RaftLibraryIo::SendFunction;
+  // Called for each command that this voter applies, with what it did.
   using OnApply = std::function<void(const Command&, const Applied&)>;
-  using Done = std::function<void(bool done, const std::string& why, const Applied&)>;
+  // The end of a proposal: OK once it is committed and applied. An error's message is one line for operators.
+  using ProposalCallback = std::function<void(const absl::Status&, const Applied&)>;
 
-  // memory: what the storage holds, with a head. Both references outlive the node.
-  RaftNode(std::string at, PersistentState memory, RaftStorage& storage, RaftTimes times, std::uint64_t seed,
-           Send send, OnApply on_apply);
+  // `state` is what `storage` holds, with a head. `storage` outlives the node.
+  RaftNode(std::string address, PersistentState state, RaftStorage& storage, RaftTimes times,
+           std::uint64_t seed, SendFunction send, OnApply on_apply);
+  // Ends proposals that are under way, with an error.
   ~RaftNode();
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  std::string start(Micros now);
+  absl::Status start(Micros now);
   void receive(Micros now, const Raft& message);
   void tick(Micros now);
-  Micros next() const { return next_; }
-
-  // On the leader; done is told once it is committed and applied, or when it is known that it will not be.
-  void propose(Micros now, const Command& command, Done done);
-  // One at a time; a second one is told to wait. An added voter has all entries before it votes.
-  void change(Micros now, const VoterChange& change, Done done);
-  // The leader has another voter lead, one that has all entries, as soon as there is one. False: there is
-  // none to try, or it tries already.
-  bool hand_over(Micros now);
-
-  bool leads() const;
-  bool halted() const { return !halted_.empty(); }
-  std::string role() const;  // leader, candidate, follower, halted
-  const std::string& why_halted() const { return halted_; }
-  std::string leader_at() const;  // empty: none is known
-  std::uint64_t id() const { return memory_.head.id(); }
+  // When to call tick().
+  Micros next_timer() const { return next_tick_; }
+
+  // On the leader only; `done` is called once it is committed and applied, or once it is known that it will
+  // not be.
+  void propose(Micros now, const Command& command, ProposalCallback done);
+  // One at a time; a second one is refused. An added voter gets all entries before it votes.
+  void change_voters(Micros now, const VoterChange& change, ProposalCallback done);
+  // Has another voter that has all entries lead, as soon as there is one. False: this voter does not lead, no
+  // other can, or a transfer is under way.
+  bool transfer_leadership(Micros now);
+
+  bool is_leader() const;
+  bool is_halted() const { return !io_.halt_status().ok(); }
+  // Empty while the voter has not halted.
+  std::string halt_reason() const { return std::string(io_.halt_status().message()); }
+  // "leader", "candidate", "follower" or "halted".
+  std::string role() const;
+  // Empty: none is known.
+  std::string leader_address() const;
+  std::uint64_t id() const { return io_.state().head.id(); }
   std::uint64_t term() const { return raft_.current_term; }
-  std::uint64_t applied() const { return raft_.last_applied; }
-  std::uint64_t last_index() const { return memory_.last(); }
+  std::uint64_t applied_index() const { return raft_.last_applied; }
+  std::uint64_t last_index() const { return io_.state().last_index(); }
   std::vector<Voter> voters() const;
-  const LeaseStateMachine& jobs() const { return jobs_; }
+  const LeaseStateMachine& lease_state_machine() const { return lease_state_machine_; }
 
-  // A file's beginning: with the fleet's voters, or empty for one that is added to them later.
-  static PersistentState first_memory(const std::string& fleet, std::uint64_t id,
-                                      const std::vector<Voter>& voters);
+  // What a new file begins with: the fleet's voters, or none for a voter that is added to them later.
+  static PersistentState initial_state(const std::string& fleet, std::uint64_t id,
+                                       const std::vector<Voter>& voters);
 
  private:
-  struct Io;
-  friend struct Io;
+  // Requests live until the library calls back.
   struct Proposal {
     struct raft_apply request;
-    RaftNode* node;
-    Done done;
+    ProposalCallback done;
   };
-  struct Changing {
+  struct PendingVoterChange {
     raft_change request;
     RaftNode* node;
-    Done done;
-    std::uint64_t id;
+    ProposalCallback done;
+    std::uint64_t voter_id;
   };
-  bool store(const Frame& frame);
-  void halt(const std::string& why);
-  void settle();  // callbacks that waited
-  Raft encode(const raft_message& m) const;
-
-  std::string at_;
-  PersistentState memory_;
-  RaftStorage& storage_;
+
+  // raft_fsm's functions.
+  static int apply_command(raft_fsm* fsm, const raft_buffer* command, void** result);
+  static int save_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* buffer_count);
+  static int restore_snapshot(raft_fsm* fsm, raft_buffer* buffer);
+  // The library's callbacks.
+  static void on_proposal_done(struct raft_apply* request, int error, void* result);
+  static void on_voter_added(raft_change* request, int error);
+  static void on_voter_change_done(raft_change* request, int error);
+
+  void set_time(Micros now) { io_.set_time(now); }
+  std::string address_of(std::uint64_t id) const;
+
+  std::string address_;
   RaftTimes times_;
-  std::mt19937_64 random_;
-  Send send_;
   OnApply on_apply_;
-  LeaseStateMachine jobs_;
-  std::unique_ptr<Io> io_;
-  raft raft_{};
+  LeaseStateMachine lease_state_machine_;
+  RaftLibraryIo io_;
+  struct raft raft_ {};
   raft_fsm fsm_{};
-  Micros now_ = 0, next_ = core::kNever;
-  std::string halted_;
-  std::deque<std::function<void()>> waiting_;
-  std::unique_ptr<Changing> changing_;
-  struct raft_transfer transfer_ {};
-  bool transfers_ = false;
-  bool started_ = false, closed_ = false;
+  Micros next_tick_ = core::kNever;
+  std::unique_ptr<PendingVoterChange> pending_voter_change_;
+  struct raft_transfer transfer_request_ {};
+  bool is_transferring_ = false;
+  bool is_started_ = false, is_closed_ = false;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/raft_storage.cpp
+++ b/src/coordination/raft_storage.cpp
@@ -7,98 +7,116 @@
 
 #include <cerrno>
 #include <cstring>
+#include <utility>
 
 namespace flintglade::coordination {
 namespace {
 
-constexpr const char* kFile = "/record.log";
+constexpr const char* kLogFile = "/record.log";
+constexpr const char* kLockFile = "/lock";
+constexpr const char* kDraftSuffix = ".new";  // of a file that is renamed over the log once it is on disk
 
-std::string failed(const std::string& path) { return path + ": " + std::strerror(errno); }
+// The error of the system call that failed last. A write that took no bytes sets no errno, and is an error
+// too.
+absl::Status system_error(const std::string& path) {
+  const int error = errno;
+  const absl::StatusCode code = error == 0 ? absl::StatusCode::kUnknown : absl::ErrnoToStatusCode(error);
+  return {code, path + ": " + std::strerror(error)};
+}
 
-bool write_all(int fd, const std::string& bytes) {
-  for (std::size_t at = 0; at < bytes.size();) {
-    const ssize_t n = ::write(fd, bytes.data() + at, bytes.size() - at);
+bool write_and_sync(int descriptor, const std::string& bytes) {
+  for (std::size_t written = 0; written < bytes.size();) {
+    const ssize_t n = ::write(descriptor, bytes.data() + written, bytes.size() - written);
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) return false;
-    at += static_cast<std::size_t>(n);
+    written += static_cast<std::size_t>(n);
   }
-  return ::fdatasync(fd) == 0;
+  return ::fdatasync(descriptor) == 0;
 }
 
-// A name in a directory lasts only once the directory is written too.
+bool read_fully(int descriptor, std::string& bytes) {
+  for (std::size_t got = 0; got < bytes.size();) {
+    const ssize_t n = ::pread(descriptor, bytes.data() + got, bytes.size() - got, static_cast<off_t>(got));
+    if (n < 0 && errno == EINTR) continue;
+    if (n <= 0) return false;
+    got += static_cast<std::size_t>(n);
+  }
+  return true;
+}
+
+// A name in a directory survives a crash only once the directory is written too.
 bool sync_directory(const std::string& path) {
-  const int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  const bool good = fd >= 0 && ::fsync(fd) == 0;
-  if (fd >= 0) ::close(fd);
-  return good;
+  const FileDescriptor directory(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  return directory.is_open() && ::fsync(directory.get()) == 0;
+}
+
+absl::Status write_draft(const std::string& draft, const std::string& bytes) {
+  const FileDescriptor file(::open(draft.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  if (!file.is_open()) return system_error(draft);
+  return write_and_sync(file.get(), bytes) ? absl::OkStatus() : system_error(draft);
 }
 
-std::string write_new(const std::string& directory, const std::string& draft, const std::string& bytes) {
-  const int fd = ::open(draft.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  if (fd < 0) return failed(draft);
-  const bool good = write_all(fd, bytes);
-  const std::string why = good ? "" : failed(draft);
-  ::close(fd);
-  if (!good) return why;
-  if (::rename(draft.c_str(), (directory + kFile).c_str()) != 0) return failed(directory + kFile);
-  return sync_directory(directory) ? "" : failed(directory);
+absl::Status replace_log(const std::string& directory, const std::string& bytes) {
+  const std::string path = directory + kLogFile, draft = path + kDraftSuffix;
+  if (absl::Status status = write_draft(draft, bytes); !status.ok()) return status;
+  if (::rename(draft.c_str(), path.c_str()) != 0) return system_error(path);
+  return sync_directory(directory) ? absl::OkStatus() : system_error(directory);
 }
 
 }  // namespace
 
-FileRaftStorage::~FileRaftStorage() {
-  if (file_ >= 0) ::close(file_);
-  if (lock_ >= 0) ::close(lock_);
+void FileDescriptor::reset(int descriptor) {
+  const int old = std::exchange(descriptor_, descriptor);
+  if (old >= 0) ::close(old);
 }
 
-std::string FileRaftStorage::open(const std::string& directory, PersistentState& out) {
+absl::StatusOr<PersistentState> FileRaftStorage::open(const std::string& directory) {
   directory_ = directory;
-  out = {};
-  const std::string path = directory + kFile, lock = directory + "/lock";
-  struct stat there {};
-  if (::stat(path.c_str(), &there) != 0) return errno == ENOENT ? "" : failed(path);
-  lock_ = ::open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) return failed(lock);
-  if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) return lock + ": another process has it";
-  if (static_cast<std::size_t>(there.st_size) > kMostJournal) return path + ": larger than any record's file";
-  file_ = ::open(path.c_str(), O_RDWR | O_APPEND | O_CLOEXEC);
-  if (file_ < 0) return failed(path);
-  std::string bytes(static_cast<std::size_t>(there.st_size), '\0');
-  for (std::size_t at = 0; at < bytes.size();) {
-    const ssize_t n = ::pread(file_, bytes.data() + at, bytes.size() - at, static_cast<off_t>(at));
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return failed(path);
-    at += static_cast<std::size_t>(n);
+  const std::string path = directory + kLogFile, lock = directory + kLockFile;
+  struct stat existing {};
+  if (::stat(path.c_str(), &existing) != 0) {
+    if (errno == ENOENT) return PersistentState{};
+    return system_error(path);
   }
-  std::size_t torn = 0;
-  const std::string why = read_journal(bytes, out, torn);
-  if (!why.empty()) return path + ": " + why;
-  if (torn > 0 && (::ftruncate(file_, static_cast<off_t>(bytes.size() - torn)) != 0 || ::fsync(file_) != 0))
-    return failed(path);
-  return "";
+  lock_.reset(::open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+  if (!lock_.is_open()) return system_error(lock);
+  if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
+    return absl::UnavailableError(lock + ": another process has it");
+  const auto file_bytes = static_cast<std::size_t>(existing.st_size);
+  if (file_bytes > kMaxRaftLogBytes)
+    return absl::ResourceExhaustedError(path + ": larger than any record's file");
+  file_.reset(::open(path.c_str(), O_RDWR | O_APPEND | O_CLOEXEC));
+  if (!file_.is_open()) return system_error(path);
+  std::string bytes(file_bytes, '\0');
+  if (!read_fully(file_.get(), bytes)) return system_error(path);
+  absl::StatusOr<DecodedRaftLog> log = decode_raft_log(bytes);
+  if (!log.ok()) return absl::Status(log.status().code(), path + ": " + std::string(log.status().message()));
+  const auto kept_bytes = static_cast<off_t>(bytes.size() - log->torn_bytes);
+  if (log->torn_bytes > 0 && (::ftruncate(file_.get(), kept_bytes) != 0 || ::fsync(file_.get()) != 0))
+    return system_error(path);
+  return std::move(log->state);
 }
 
-std::string FileRaftStorage::create(const std::string& directory, const PersistentState& first) {
-  if (::mkdir(directory.c_str(), 0700) != 0 && errno != EEXIST) return failed(directory);
-  const std::string path = directory + kFile;
+absl::Status FileRaftStorage::create(const std::string& directory, const PersistentState& initial) {
+  if (::mkdir(directory.c_str(), 0700) != 0 && errno != EEXIST) return system_error(directory);
+  const std::string path = directory + kLogFile;
   if (::access(path.c_str(), F_OK) == 0)
-    return path + ": is there already; a voter's id is used up with its file";
-  return write_new(directory, path + ".new", all_bytes(first));
+    return absl::AlreadyExistsError(path + ": is there already; a voter's id is used up with its file");
+  return replace_log(directory, encode_raft_log(initial));
 }
 
-std::string FileRaftStorage::append(const std::string& bytes) {
-  return file_ >= 0 && write_all(file_, bytes) ? "" : failed(directory_ + kFile);
+absl::Status FileRaftStorage::append(const std::string& bytes) {
+  if (file_.is_open() && write_and_sync(file_.get(), bytes)) return absl::OkStatus();
+  return system_error(directory_ + kLogFile);
 }
 
-std::string FileRaftStorage::rewrite(const std::string& bytes) {
-  const std::string path = directory_ + kFile;
-  const std::string why = write_new(directory_, path + ".new", bytes);
-  if (!why.empty()) return why;
-  const int fd = ::open(path.c_str(), O_RDWR | O_APPEND | O_CLOEXEC);
-  if (fd < 0) return failed(path);
-  ::close(file_);
-  file_ = fd;
-  return "";
+absl::Status FileRaftStorage::rewrite(const std::string& bytes) {
+  if (absl::Status status = replace_log(directory_, bytes); !status.ok()) return status;
+  const std::string path = directory_ + kLogFile;
+  const int reopened = ::open(path.c_str(), O_RDWR | O_APPEND | O_CLOEXEC);
+  if (reopened < 0) return system_error(path);
+  file_.reset(reopened);
+  return absl::OkStatus();
 }
 
 }  // namespace flintglade::coordination
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -12,15 +12,15 @@
 struct MemoryDisk final : coordination::RaftStorage {
   std::string bytes;
   bool fails = false;
-  std::string append(const std::string& more) override {
-    if (fails) return "no space";
+  absl::Status append(const std::string& more) override {
+    if (fails) return absl::ResourceExhaustedError("no space");
     bytes += more;
-    return "";
+    return absl::OkStatus();
   }
-  std::string rewrite(const std::string& all) override {
-    if (fails) return "no space";
+  absl::Status rewrite(const std::string& all) override {
+    if (fails) return absl::ResourceExhaustedError("no space");
     bytes = all;
-    return "";
+    return absl::OkStatus();
   }
 };
 
@@ -74,7 +74,8 @@
           one.set_id(v.id);
           one.set_at(v.at);
         }
-        b.disk->bytes = coordination::all_bytes(coordination::RaftNode::first_memory("test", i + 1, first));
+        b.disk->bytes =
+            coordination::encode_raft_log(coordination::RaftNode::initial_state("test", i + 1, first));
       }
       start(i);
     }
@@ -118,13 +119,12 @@
     if (!world_.budgets.empty()) start_sharing(i);
     if (b.disk) {
       b.disk->fails = false;
-      coordination::PersistentState memory;
-      std::size_t torn = 0;
-      const std::string why = coordination::read_journal(b.disk->bytes, memory, torn);
-      if (!why.empty()) return broken("a voter could not read its own file: " + why);
-      b.disk->bytes.resize(b.disk->bytes.size() - torn);
-      const std::string refused = b.agent->vote(std::move(memory), *b.disk);
-      if (!refused.empty()) return broken("a voter could not start: " + refused);
+      absl::StatusOr<coordination::DecodedRaftLog> log = coordination::decode_raft_log(b.disk->bytes);
+      if (!log.ok())
+        return broken("a voter could not read its own file: " + std::string(log.status().message()));
+      b.disk->bytes.resize(b.disk->bytes.size() - log->torn_bytes);
+      const absl::Status started = b.agent->vote(std::move(log->state), *b.disk);
+      if (!started.ok()) return broken("a voter could not start: " + std::string(started.message()));
     }
     b.agent->start(b.local(now_));
     flush(i);
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -6,7 +6,6 @@
 #include <functional>
 
 #include "check.h"
-#include "coordination/raft_log.h"
 #include "coordination/shared_endpoint_list.h"
 #include "fleet/sim.h"
 
@@ -189,55 +188,6 @@
   CHECK(meet(false) == std::pair(false, std::uint64_t{2001}));
 }
 
-// ---- the record's file
-
-coordination::PersistentState some_memory() {
-  std::vector<coordination::Voter> voters(3);
-  for (std::size_t i = 0; i < 3; ++i) {
-    voters[i].set_id(i + 1);
-    voters[i].set_at("10.0.0.1:" + std::to_string(i + 1));
-  }
-  coordination::PersistentState m = coordination::RaftNode::first_memory("f", 2, voters);
-  for (std::uint64_t i = 2; i < 6; ++i) {
-    coordination::Frame f;
-    f.mutable_entry()->set_index(i);
-    f.mutable_entry()->set_term(1);
-    f.mutable_entry()->set_data("entry " + std::to_string(i));
-    m.apply(f);
-  }
-  return m;
-}
-
-void a_torn_end_is_cut_off_and_damage_is_refused() {
-  const coordination::PersistentState whole = some_memory();
-  const std::string bytes = coordination::all_bytes(whole);
-  coordination::Frame last;
-  *last.mutable_entry() = whole.entries.back();
-  const std::size_t last_at = bytes.size() - coordination::frame_bytes(last).size();
-  coordination::PersistentState out;
-  std::size_t torn = 0;
-  CHECK(coordination::read_journal(bytes, out, torn).empty() && torn == 0);
-  CHECK(coordination::all_bytes(out) == bytes);
-  for (std::size_t n = last_at + 1; n < bytes.size(); ++n) {
-    CHECK(coordination::read_journal(std::string_view(bytes).substr(0, n), out, torn).empty());
-    CHECK(torn == n - last_at && out.last() + 1 == whole.last());
-  }
-  for (std::size_t i = 0; i < last_at; ++i) {
-    std::string damaged = bytes;
-    damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
-    const std::string why = coordination::read_journal(damaged, out, torn);
-    // A length that now reaches past the end cannot be told from a torn write; then no later frame counts
-    // either.
-    CHECK(!why.empty() || torn > 0);
-  }
-  coordination::PersistentState newer = whole;
-  newer.head.set_version(coordination::kJournalVersion + 1);
-  CHECK(coordination::read_journal(coordination::all_bytes(newer), out, torn).find("version") !=
-        std::string::npos);
-  CHECK(!coordination::read_journal(std::string(100, 'x'), out, torn).empty());
-  CHECK(coordination::read_journal("", out, torn).empty() && out.head.fleet().empty());
-}
-
 // ---- owners
 
 void a_release_that_is_on_its_way_is_never_taken_back() {
@@ -353,7 +303,6 @@
   }
   absurd_words_change_nothing();
   one_name_is_one_process();
-  a_torn_end_is_cut_off_and_damage_is_refused();
   a_release_that_is_on_its_way_is_never_taken_back();
   a_list_is_read_by_one_and_by_all_when_it_is_silent();
   an_owner_that_dies_is_followed_soon();
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -12,9 +12,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace flintglade;
   const std::string bytes(reinterpret_cast<const char*>(data), size);
-  coordination::PersistentState memory;
-  std::size_t torn = 0;
-  if (coordination::read_journal(bytes, memory, torn).empty() && torn > size) std::abort();
+  const auto log = coordination::decode_raft_log(bytes);
+  if (log.ok() && log->torn_bytes > size) std::abort();
 
   coordination::CoordinationSettings set;
   set.peers.fleet = "f";
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -179,16 +179,18 @@
 TEST_F(StoredData, VoterRecordIsRead) {
   put(kVoterFile, "/record.log");
   coordination::FileRaftStorage disk;
-  coordination::PersistentState read;
-  ASSERT_EQ(disk.open(folder_, read), "");
+  const absl::StatusOr<coordination::PersistentState> stored = disk.open(folder_);
+  ASSERT_EQ(stored.status().message(), "");
+  ASSERT_TRUE(stored.ok());
+  const coordination::PersistentState& read = *stored;
   const coordination::PersistentState sample = sample_voter_memory();
   EXPECT_EQ(read.head.fleet(), kVoterFleet);
   EXPECT_EQ(read.head.id(), kVoterId);
   EXPECT_EQ(read.head.version(), 1u);
   EXPECT_EQ(read.vote.term(), 3u);
   EXPECT_EQ(read.vote.voted_for(), kVoterId);
-  EXPECT_EQ(read.first, 3u);
-  EXPECT_EQ(read.last(), 7u);
+  EXPECT_EQ(read.first_index, 3u);
+  EXPECT_EQ(read.last_index(), 7u);
   ASSERT_TRUE(read.has_snapshot);
   EXPECT_EQ(read.snapshot.DebugString(), sample.snapshot.DebugString());
   ASSERT_EQ(read.entries.size(), sample.entries.size());
@@ -199,13 +201,16 @@
 TEST_F(StoredData, VoterRecordHoldsTheAgreedTable) {
   put(kVoterFile, "/record.log");
   coordination::FileRaftStorage disk;
-  coordination::PersistentState memory;
-  ASSERT_EQ(disk.open(folder_, memory), "");
+  absl::StatusOr<coordination::PersistentState> stored = disk.open(folder_);
+  ASSERT_EQ(stored.status().message(), "");
+  ASSERT_TRUE(stored.ok());
   coordination::CoordinationSettings settings;
   settings.peers.fleet = kVoterFleet;
   settings.self = {"r2", "north", "10.0.0.2:7000", 2000};
   coordination::CoordinationProtocol agent(settings, 1);
-  ASSERT_EQ(agent.vote(std::move(memory), disk), "");
+  const absl::Status started = agent.vote(*std::move(stored), disk);
+  ASSERT_EQ(started.message(), "");
+  ASSERT_TRUE(started.ok());
   const coordination::LeaseTable& table = agent.table();
   EXPECT_EQ(table.last_number(), 2u);
   ASSERT_EQ(table.jobs_size(), 2);
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -238,7 +238,7 @@
   out.vote = vote(3, kVoterId).vote();
   out.has_snapshot = true;
   out.snapshot = snapshot().snapshot();
-  out.first = 3;
+  out.first_index = 3;
   for (const coordination::Frame& frame :
        {entry(3, 3, grant("list-north", "r2", 1002, 0)), entry(4, 3, draw()), entry(5, 3, renew()),
         entry(6, 3, release()), entry(7, 3, move())})
@@ -247,19 +247,19 @@
 }
 
 std::string write_voter_record(const std::string& directory) {
-  coordination::PersistentState first = coordination::RaftNode::first_memory(kVoterFleet, kVoterId, voters());
+  coordination::PersistentState first =
+      coordination::RaftNode::initial_state(kVoterFleet, kVoterId, voters());
   // The library fills the voters' list up to a multiple of eight bytes, with whatever was in its memory.
   std::string& encoded = *first.entries.front().mutable_data();
   std::fill(encoded.begin() + kEncodedVoters, encoded.end(), '\0');
-  std::string why = coordination::FileRaftStorage::create(directory, first);
-  if (!why.empty()) return why;
+  absl::Status status = coordination::FileRaftStorage::create(directory, first);
+  if (!status.ok()) return std::string(status.message());
   coordination::FileRaftStorage disk;
-  coordination::PersistentState memory;
-  why = disk.open(directory, memory);
+  status = disk.open(directory).status();
   for (const coordination::Frame& frame : appended_frames()) {
-    if (why.empty()) why = disk.append(coordination::frame_bytes(frame));
+    if (status.ok()) status = disk.append(coordination::encode_log_frame(frame));
   }
-  return why;
+  return std::string(status.message());
 }
 
 // ---- the counts that a router keeps
