--- a/src/commands/fleet.cpp
+++ b/src/commands/fleet.cpp
@@ -272,19 +272,19 @@
     if (!file) return diagnose(path + ": cannot be read");
     const std::string text(std::istreambuf_iterator<char>(file), {});
     const std::size_t slash = path.rfind('/');
-    audit.read(slash == std::string::npos ? path : path.substr(slash + 1), text);
+    audit.add_log(slash == std::string::npos ? path : path.substr(slash + 1), text);
   }
   std::printf("%-28s %10s  %-20s %14s %9s  %s\n", "JOB", "NUMBER", "LOG", "FROM (ms)", "FOR (s)", "UNTIL");
-  for (const coordination::Audit::Owner& o : audit.owners())
+  for (const coordination::Audit::Ownership& o : audit.ownerships())
     std::printf("%-28s %10llu  %-20s %14lld %9.3f  %s\n", o.job.c_str(),
                 static_cast<unsigned long long>(o.number), o.router.c_str(),
                 static_cast<long long>(o.from_ms), static_cast<double>(o.to_ms - o.from_ms) / 1e3,
-                o.why.c_str());
+                o.end_reason.c_str());
   std::printf("effects refused: %llu, lines that are none: %llu\n",
-              static_cast<unsigned long long>(audit.refused()),
-              static_cast<unsigned long long>(audit.unread()));
-  for (const std::string& b : audit.broken()) std::printf("BROKEN: %s\n", b.c_str());
-  return audit.broken().empty() ? 0 : 1;
+              static_cast<unsigned long long>(audit.stale_effects()),
+              static_cast<unsigned long long>(audit.unparsed_lines()));
+  for (const std::string& violation : audit.violations()) std::printf("BROKEN: %s\n", violation.c_str());
+  return audit.violations().empty() ? 0 : 1;
 }
 
 }  // namespace flintglade::commands
--- a/src/commands/fleet_member.h
+++ b/src/commands/fleet_member.h
@@ -1,5 +1,5 @@
 // This router's part in its fleet: wires the member's thread, its jobs and the core together. Who does what
-// is decided by coordination::Agent and coordination::SharedEndpointList.
+// is decided by coordination::CoordinationProtocol and coordination::SharedEndpointList.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -33,7 +33,7 @@
   void leave();
 
  private:
-  void take(const coordination::CoordinationProtocol::Word& word);
+  void take(const coordination::JobNotification& notification);
   void arm();
 
   boost::asio::io_context& io_;
--- a/src/commands/shared_state_bridge.h
+++ b/src/commands/shared_state_bridge.h
@@ -24,7 +24,7 @@
   // self: as the member tells the others. member, core and log are borrowed and outlive it.
   SharedStateBridge(boost::asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
                     const config::Config& config, const membership::Self& self);
-  coordination::Companion* companion() { return shared_state_.get(); }
+  coordination::ProtocolExtension* extension() { return shared_state_.get(); }
   void restore();  // what a process before this one has left; before the member starts
   void start(coordination::CoordinationRuntime& member, core::Broker& core);
   void leave();  // what is left of parts of stocks goes back, and the counts are told once more
--- a/src/coordination/audit.cpp
+++ b/src/coordination/audit.cpp
@@ -5,23 +5,29 @@
 #include <cstdlib>
 #include <ctime>
 #include <nlohmann/json.hpp>
+#include <tuple>
 
 namespace flintglade::coordination {
 namespace {
 
-std::int64_t read_time(const std::string& text) {
-  std::tm t{};
+using Fields = std::map<std::string, std::string>;
+
+// Unix time in ms; -1: not a time as src/log writes it.
+std::int64_t parse_time(const std::string& text) {
+  std::tm time{};
   int ms = 0;
-  if (std::sscanf(text.c_str(), "%4d-%2d-%2dT%2d:%2d:%2d.%3dZ", &t.tm_year, &t.tm_mon, &t.tm_mday, &t.tm_hour,
-                  &t.tm_min, &t.tm_sec, &ms) != 7)
-    return -1;
-  t.tm_year -= 1900;
-  t.tm_mon -= 1;
-  return static_cast<std::int64_t>(::timegm(&t)) * 1000 + ms;
+  const int parsed = std::sscanf(text.c_str(), "%4d-%2d-%2dT%2d:%2d:%2d.%3dZ", &time.tm_year, &time.tm_mon,
+                                 &time.tm_mday, &time.tm_hour, &time.tm_min, &time.tm_sec, &ms);
+  if (parsed != 7) return -1;
+  time.tm_year -= 1900;
+  time.tm_mon -= 1;
+  return static_cast<std::int64_t>(::timegm(&time)) * 1000 + ms;
 }
 
-std::uint64_t number(const LogLine& line, const char* key = "number") {
-  return std::strtoull(line[key].c_str(), nullptr, 10);
+std::uint64_t lease_number(const LogLine& line) { return std::strtoull(line["number"].c_str(), nullptr, 10); }
+
+std::string lease_key(const std::string& job, std::uint64_t number) {
+  return job + " " + std::to_string(number);
 }
 
 // Logs of earlier versions name the same events otherwise; a fleet of mixed versions has both.
@@ -34,109 +40,152 @@
   return name;
 }
 
+std::optional<Fields> parse_json_fields(std::string_view text) {
+  const auto json = nlohmann::json::parse(text, nullptr, false);
+  if (!json.is_object()) return std::nullopt;
+  Fields fields;
+  for (const auto& [key, value] : json.items())
+    fields[key] = value.is_string() ? value.get<std::string>() : value.dump();
+  return fields;
+}
+
+// The end of the value that begins at `begin`, with its quotes if it has any; npos: a quote is not closed.
+std::size_t value_end(std::string_view text, std::size_t begin) {
+  if (begin >= text.size() || text[begin] != '"') return std::min(text.find(' ', begin), text.size());
+  std::size_t end = begin + 1;
+  for (; end < text.size() && text[end] != '"'; ++end) end += text[end] == '\\';
+  return end < text.size() ? end + 1 : std::string_view::npos;
+}
+
+std::optional<std::string> parse_value(std::string_view value) {
+  if (value.empty() || value.front() != '"') return std::string(value);
+  const auto json = nlohmann::json::parse(value, nullptr, false);
+  if (!json.is_string()) return std::nullopt;
+  return json.get<std::string>();
+}
+
+std::optional<Fields> parse_text_fields(std::string_view text) {
+  Fields fields;
+  for (std::size_t begin = 0; begin < text.size();) {
+    const std::size_t equals = text.find('=', begin);
+    if (equals == std::string_view::npos) return std::nullopt;
+    const std::size_t end = value_end(text, equals + 1);
+    if (end == std::string_view::npos) return std::nullopt;
+    const std::optional<std::string> value = parse_value(text.substr(equals + 1, end - equals - 1));
+    if (!value) return std::nullopt;
+    fields[std::string(text.substr(begin, equals - begin))] = *value;
+    begin = end + 1;
+  }
+  return fields;
+}
+
 }  // namespace
 
-bool read_line(std::string_view text, LogLine& out) {
-  out = {};
-  if (!text.empty() && text.front() == '{') {
-    const auto json = nlohmann::json::parse(text, nullptr, false);
-    if (!json.is_object()) return false;
-    for (const auto& [key, value] : json.items())
-      out.fields[key] = value.is_string() ? value.get<std::string>() : value.dump();
-  } else {
-    for (std::size_t at = 0; at < text.size();) {
-      const std::size_t mark = text.find('=', at);
-      if (mark == std::string_view::npos) return false;
-      const std::string key(text.substr(at, mark - at));
-      std::size_t end = mark + 1;
-      if (end < text.size() && text[end] == '"') {
-        for (++end; end < text.size() && text[end] != '"'; ++end) end += text[end] == '\\';
-        if (end >= text.size()) return false;
-        const auto value = nlohmann::json::parse(text.substr(mark + 1, end - mark), nullptr, false);
-        if (!value.is_string()) return false;
-        out.fields[key] = value.get<std::string>();
-        ++end;
-      } else {
-        end = std::min(text.find(' ', end), text.size());
-        out.fields[key] = std::string(text.substr(mark + 1, end - mark - 1));
-      }
-      at = end + 1;
+std::optional<LogLine> parse_log_line(std::string_view text) {
+  const bool is_json = !text.empty() && text.front() == '{';
+  std::optional<Fields> fields = is_json ? parse_json_fields(text) : parse_text_fields(text);
+  if (!fields) return std::nullopt;
+  LogLine line;
+  line.fields = *std::move(fields);
+  line.event = line["event"];
+  line.ms = parse_time(line["ts"]);
+  if (line.event.empty() || line.ms < 0) return std::nullopt;
+  return line;
+}
+
+void Audit::add_log(const std::string& router, std::string_view log) {
+  Process process;
+  process.router = router;
+  for (std::size_t begin = 0; begin < log.size();) {
+    const std::size_t end = std::min(log.find('\n', begin), log.size());
+    if (const std::optional<LogLine> line = parse_log_line(log.substr(begin, end - begin))) {
+      add_line(*line, process);
+      process.last_ms = line->ms;
+    } else {
+      unparsed_lines_ += end > begin;
     }
+    begin = end + 1;
   }
-  out.event = out["event"];
-  out.ms = read_time(out["ts"]);
-  return !out.event.empty() && out.ms >= 0;
-}
-
-void Audit::read(const std::string& router, std::string_view log) {
-  std::map<std::string, std::uint64_t> taken;
-  std::map<std::string, std::size_t> running;
-  std::int64_t last = 0;
-  const auto ends = [&](const std::string& job, std::int64_t at, const std::string& why) {
-    const auto it = running.find(job);
-    if (it == running.end()) return;
-    owners_[it->second].to_ms = at;
-    owners_[it->second].why = why;
-    running.erase(it);
-  };
-  for (std::size_t at = 0; at < log.size();) {
-    const std::size_t end = std::min(log.find('\n', at), log.size());
-    LogLine line;
-    if (!read_line(log.substr(at, end - at), line)) {
-      unread_ += end > at;
-      at = end + 1;
-      continue;
-    }
-    at = end + 1;
-    const std::string job = line["job"], what = job + " " + line["number"];
-    const std::string_view event = current_event_name(line.event);
-    if (event == "listening" && line["wire"] == "http") {  // a new process: what it has seen is nothing
-      taken.clear();
-      while (!running.empty()) ends(running.begin()->first, last, "its process ended");
-    } else if (event == "lease_granted") {
-      const auto [it, fresh] = granted_.emplace(what, line["to"]);
-      if (!fresh && it->second != line["to"])
-        broken_.push_back(what + " was granted to " + it->second + " and, at " + router + ", to " +
-                          line["to"]);
-    } else if (event == "lease_acquired") {
-      ends(job, line.ms, "it started again");
-      running[job] = owners_.size();
-      owners_.push_back({job, router, number(line), line.ms, -1, ""});
-    } else if (event == "lease_released") {
-      ends(job, line.ms, line["why"]);
-    } else if (event == "lease_effect_applied") {
-      std::uint64_t& highest = taken[job];
-      if (number(line) < highest)
-        broken_.push_back(router + " took an effect of " + what + " after number " + std::to_string(highest));
-      highest = std::max(highest, number(line));
-    } else if (event == "stale_fencing_token") {
-      ++refused_;
-    }
-    last = line.ms;
+  end_all("its log ends", process);
+}
+
+void Audit::add_line(const LogLine& line, Process& process) {
+  const std::string_view event = current_event_name(line.event);
+  if (event == "listening" && line["wire"] == "http") {  // a new process, which has seen no token yet
+    process.highest_tokens.clear();
+    end_all("its process ended", process);
+  } else if (event == "lease_granted") {
+    add_grant(line, process.router);
+  } else if (event == "lease_acquired") {
+    begin_ownership(line, process);
+  } else if (event == "lease_released") {
+    end_ownership(line["job"], line.ms, line["why"], process);
+  } else if (event == "lease_effect_applied") {
+    add_applied_effect(line, process);
+  } else if (event == "stale_fencing_token") {
+    ++stale_effects_;
+  }
+}
+
+void Audit::add_grant(const LogLine& line, const std::string& router) {
+  const std::string lease = line["job"] + " " + line["number"];
+  const auto [it, is_first] = granted_.emplace(lease, line["to"]);
+  if (is_first || it->second == line["to"]) return;
+  violations_.push_back(lease + " was granted to " + it->second + " and, at " + router + ", to " +
+                        line["to"]);
+}
+
+void Audit::add_applied_effect(const LogLine& line, Process& process) {
+  std::uint64_t& highest = process.highest_tokens[line["job"]];
+  if (lease_number(line) < highest)
+    violations_.push_back(process.router + " took an effect of " + line["job"] + " " + line["number"] +
+                          " after number " + std::to_string(highest));
+  highest = std::max(highest, lease_number(line));
+}
+
+void Audit::begin_ownership(const LogLine& line, Process& process) {
+  const std::string job = line["job"];
+  end_ownership(job, line.ms, "it started again", process);
+  process.owned[job] = ownerships_.size();
+  ownerships_.push_back({job, process.router, lease_number(line), line.ms, -1, ""});
+}
+
+void Audit::end_ownership(const std::string& job, std::int64_t at_ms, const std::string& reason,
+                          Process& process) {
+  const auto it = process.owned.find(job);
+  if (it == process.owned.end()) return;
+  ownerships_[it->second].to_ms = at_ms;
+  ownerships_[it->second].end_reason = reason;
+  process.owned.erase(it);
+}
+
+void Audit::end_all(const std::string& reason, Process& process) {
+  while (!process.owned.empty()) {
+    const std::string job = process.owned.begin()->first;
+    end_ownership(job, process.last_ms, reason, process);
   }
-  while (!running.empty()) ends(running.begin()->first, last, "its log ends");
 }
 
-std::vector<Audit::Owner> Audit::owners() const {
-  std::vector<Owner> out = owners_;
-  std::sort(out.begin(), out.end(), [](const Owner& a, const Owner& b) {
+std::vector<Audit::Ownership> Audit::ownerships() const {
+  std::vector<Ownership> out = ownerships_;
+  std::sort(out.begin(), out.end(), [](const Ownership& a, const Ownership& b) {
     return std::tie(a.job, a.number, a.from_ms) < std::tie(b.job, b.number, b.from_ms);
   });
   return out;
 }
 
-std::vector<std::string> Audit::broken() const {
-  std::vector<std::string> out = broken_;
-  std::map<std::pair<std::string, std::uint64_t>, std::string> owned;
-  for (const Owner& o : owners_) {
-    const auto [it, fresh] = owned.emplace(std::pair(o.job, o.number), o.router);
-    if (!fresh && it->second != o.router)
-      out.push_back(o.job + " number " + std::to_string(o.number) + " ran at " + it->second + " and at " +
-                    o.router);
-    const auto granted = granted_.find(o.job + " " + std::to_string(o.number));
-    if (granted != granted_.end() && granted->second != o.router)
-      out.push_back(o.job + " number " + std::to_string(o.number) + " ran at " + o.router +
-                    " and was granted to " + granted->second);
+std::vector<std::string> Audit::violations() const {
+  std::vector<std::string> out = violations_;
+  std::map<std::string, std::string> owners;  // "JOB NUMBER" -> the router that ran it first
+  for (const Ownership& ownership : ownerships_) {
+    const std::string lease = lease_key(ownership.job, ownership.number);
+    const std::string ran = ownership.job + " number " + std::to_string(ownership.number) + " ran at ";
+    const auto [owner, is_first] = owners.emplace(lease, ownership.router);
+    if (!is_first && owner->second != ownership.router)
+      out.push_back(ran + owner->second + " and at " + ownership.router);
+    const auto granted = granted_.find(lease);
+    if (granted != granted_.end() && granted->second != ownership.router)
+      out.push_back(ran + ownership.router + " and was granted to " + granted->second);
   }
   return out;
 }
--- a/src/coordination/audit.h
+++ b/src/coordination/audit.h
@@ -1,9 +1,12 @@
-// Reads the logs of a fleet's routers and checks the rules of its jobs. Pure. What it says rests on numbers,
-// not on the routers' clocks, but for the times without an owner.
+// `fleet audit`: reads the logs of a fleet's routers and checks the rules of leases and fencing tokens.
+//
+// Pure. The rules rest on lease numbers, not on the routers' clocks; only the times without an owner rest on
+// clocks.
 #pragma once
 
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -12,39 +15,61 @@
 
 struct LogLine {
   std::int64_t ms = -1;  // Unix time
-  std::string event;
+  std::string event;     // as it stands in the log, also if it is a name of an earlier version
   std::map<std::string, std::string> fields;
+
+  // Empty: there is no such field.
   std::string operator[](const std::string& key) const {
     const auto it = fields.find(key);
     return it == fields.end() ? "" : it->second;
   }
 };
-// A line as src/log writes it, as text or as JSON. False: it is none, or not whole.
-bool read_line(std::string_view text, LogLine& out);
+
+// A line as src/log writes it, as text or as JSON. Nothing: it is none, or incomplete.
+std::optional<LogLine> parse_log_line(std::string_view text);
 
 class Audit {
  public:
-  // A router's log, oldest line first. Lines that are none are passed over and counted. Several processes of
-  // one router, one after another, may stand in one log.
-  void read(const std::string& router, std::string_view log);
-
-  // One line for each rule that was broken.
-  std::vector<std::string> broken() const;
-  struct Owner {
+  // One router's ownership of a job under one number, by its own log.
+  struct Ownership {
     std::string job, router;
     std::uint64_t number = 0;
-    std::int64_t from_ms = 0, to_ms = -1;  // -1: to the end of its log, or to its process's end
-    std::string why;                       // it ended
+    std::int64_t from_ms = 0, to_ms = -1;
+    std::string end_reason;
   };
-  std::vector<Owner> owners() const;  // by job and number
-  std::uint64_t unread() const { return unread_; }
-  std::uint64_t refused() const { return refused_; }
+
+  // A router's log, oldest line first. Other lines are passed over and counted. Several processes of one
+  // router, one after another, may stand in one log.
+  void add_log(const std::string& router, std::string_view log);
+
+  // One line for each violation of a rule; empty: none was found.
+  std::vector<std::string> violations() const;
+  // By job and number.
+  std::vector<Ownership> ownerships() const;
+  std::uint64_t unparsed_lines() const { return unparsed_lines_; }
+  // Effects that were refused for a stale fencing token.
+  std::uint64_t stale_effects() const { return stale_effects_; }
 
  private:
-  std::vector<Owner> owners_;
-  std::vector<std::string> broken_;
-  std::map<std::string, std::string> granted_;  // "JOB NUMBER" -> to whom, by the voters
-  std::uint64_t unread_ = 0, refused_ = 0;
+  // What is known of the process whose lines are being read.
+  struct Process {
+    std::string router;
+    std::map<std::string, std::uint64_t> highest_tokens;  // by job, of effects that it applied
+    std::map<std::string, std::size_t> owned;             // by job, the place in ownerships_
+    std::int64_t last_ms = 0;
+  };
+
+  void add_line(const LogLine& line, Process& process);
+  void add_grant(const LogLine& line, const std::string& router);
+  void add_applied_effect(const LogLine& line, Process& process);
+  void begin_ownership(const LogLine& line, Process& process);
+  void end_ownership(const std::string& job, std::int64_t at_ms, const std::string& reason, Process& process);
+  void end_all(const std::string& reason, Process& process);
+
+  std::vector<Ownership> ownerships_;
+  std::vector<std::string> violations_;
+  std::map<std::string, std::string> granted_;  // "JOB NUMBER" -> the router, by the voters' logs
+  std::uint64_t unparsed_lines_ = 0, stale_effects_ = 0;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -1,505 +1,553 @@
 #include "coordination/coordination_protocol.h"
 
 #include <algorithm>
+#include <iterator>
 
 namespace flintglade::coordination {
 namespace {
 
-constexpr std::size_t kMostAsked = 256, kMostWords = 4096;
-constexpr Micros kForgetAsked = 5 * core::kSecond;
-constexpr Micros kLeaderless =
-    3 * core::kSecond;  // nobody has named a leader for so long: the fleet's jobs rest
-constexpr Micros kMostLeaving = 500 * core::kMilli;
+// Notifications that wait to be taken; more are dropped, as a datagram may be.
+constexpr std::size_t kMaxNotifications = 4096;
+// With no leader known for so long, the jobs are taken to rest.
+constexpr Micros kLeaderUnknownTimeout = 3 * core::kSecond;
+// The longest that a shutdown waits for the voters.
+constexpr Micros kMaxLeaveDuration = 500 * core::kMilli;
+// A leader that has not answered for so many polls is asked no more.
+constexpr int kPollsUntilLeaderForgotten = 3;
+
+const char* event_name(MemberStatus status) {
+  static constexpr const char* kNames[] = {"member_alive", "member_suspected", "member_dead", "member_left"};
+  return kNames[status];
+}
 
 }  // namespace
 
 CoordinationProtocol::CoordinationProtocol(CoordinationSettings settings, std::uint64_t seed)
     : settings_(std::move(settings)),
       random_(seed),
-      swim_(settings_.peers, settings_.self, seed),
-      lease_manager_(settings_.lease, settings_.wanted),
-      lease_holder_(settings_.lease, settings_.self.name) {
-  for (const VoterAt& v : settings_.voters) {
+      swim_(settings_.membership, settings_.self, seed),
+      lease_manager_(settings_.lease_times, settings_.jobs),
+      lease_holder_(settings_.lease_times, settings_.self.name) {
+  for (const VoterAddress& configured : settings_.voters) {
     Voter voter;
-    voter.set_id(v.id);
-    voter.set_at(v.at);
+    voter.set_id(configured.id);
+    voter.set_at(configured.address);
     voter.set_votes(true);
     voters_.push_back(voter);
   }
 }
 
-absl::Status CoordinationProtocol::vote(PersistentState memory, RaftStorage& storage) {
-  node_ = std::make_unique<RaftNode>(
-      settings_.self.at, std::move(memory), storage, settings_.node, random_(),
-      [this](const std::string& at, const Raft& message) {
-        Packet p = swim_.packet("");
-        *p.mutable_raft() = message;
-        send(at, p);
+absl::Status CoordinationProtocol::start_voting(PersistentState state, RaftStorage& storage) {
+  raft_node_ = std::make_unique<RaftNode>(
+      settings_.self.at, std::move(state), storage, settings_.raft_times, random_(),
+      [this](const std::string& address, const Raft& message) {
+        Packet packet = swim_.packet("");
+        *packet.mutable_raft() = message;
+        send(address, packet);
       },
-      [this](const Command& command, const Applied& applied) {
-        for (const HeldLease& h : applied.renewed) lease_manager_.renewed(now_, command.renew().owner(), h);
-        if (command.has_grant() && applied.changed) {
-          lease_manager_.granted(now_, applied.job);
-          event("lease_granted",
-                {{"job", applied.job},
-                 {"number", std::to_string(node_->lease_state_machine().table().last_number())},
-                 {"to", command.grant().owner()}});
-        }
-        if (!applied.changed || !node_->is_leader()) return;
-        const Job* job = node_->lease_state_machine().find(applied.job);
-        if (job == nullptr) return;
-        push(job->owner());
-        if (!job->wanted().empty()) push(job->wanted());
-      });
-  return node_->start(0);
-}
-
-void CoordinationProtocol::event(std::string name, std::vector<std::pair<std::string, std::string>> fields,
-                                 bool warning) {
+      [this](const Command& command, const Applied& applied) { on_applied(command, applied); });
+  return raft_node_->start(0);
+}
+
+void CoordinationProtocol::log_event(std::string name,
+                                     std::vector<std::pair<std::string, std::string>> fields, bool warning) {
   events_.push_back({std::move(name), std::move(fields), warning});
 }
 
 void CoordinationProtocol::start(Micros now) {
   now_ = now;
   swim_.start(now);
-  next_read_ = now + std::uniform_int_distribution<Micros>(0, settings_.read_every)(random_);
-  if (node_) node_->tick(now);
-  settle(now);
+  const Micros period = settings_.lease_table_poll_period;
+  next_poll_ = now + std::uniform_int_distribution<Micros>(0, period)(random_);
+  if (raft_node_) raft_node_->tick(now);
+  run_steps(now);
 }
 
-Micros CoordinationProtocol::next() const {
-  Micros at = std::min(swim_.next(), lease_holder_.next());
-  if (node_) at = std::min({at, node_->next_timer(), lease_manager_.next()});
-  if (!votes()) at = std::min(at, next_read_);
-  return at;
+Micros CoordinationProtocol::next_timer() const {
+  Micros next = std::min(swim_.next(), lease_holder_.next_timer());
+  if (raft_node_) next = std::min({next, raft_node_->next_timer(), lease_manager_.next_timer()});
+  if (!is_voting()) next = std::min(next, next_poll_);
+  return next;
 }
 
 void CoordinationProtocol::tick(Micros now) {
   now_ = now;
   swim_.tick(now);
-  if (node_ && now >= node_->next_timer()) node_->tick(now);
-  settle(now);
+  if (raft_node_ && now >= raft_node_->next_timer()) raft_node_->tick(now);
+  run_steps(now);
 }
 
-// What follows from the new state of all parts, in one order.
-void CoordinationProtocol::settle(Micros now) {
-  for (const membership::Peer& p : swim_.changed()) {
-    static constexpr const char* kNames[] = {"member_alive", "member_suspected", "member_dead",
-                                             "member_left"};
-    event(kNames[p.standing],
-          {{"peer", p.name}, {"at", p.at}, {"site", p.site}, {"incarnation", std::to_string(p.incarnation)}});
-  }
-  if (swim_.displaced() && !displaced_) {
-    displaced_ = true;
-    event("displaced_by_newer_process",
-          {{"name", settings_.self.name}, {"by", "a process of this name that began later"}}, true);
-    lease_holder_.record({}, 0);
-  }
-  if (node_ && node_->is_halted() && !halted_told_) {
-    halted_told_ = true;
-    event("raft_node_halted", {{"why", node_->halt_reason()}, {"votes", "no more, until the next start"}},
-          true);
-  }
-  const bool leads = node_ && node_->is_leader();
-  if (leads != led_) {
-    led_ = leads;
-    event(leads ? "leadership_acquired" : "leadership_lost", {{"term", std::to_string(node_->term())}});
-    if (leads) {
-      lease_manager_.leads(now);
-      // What the terms before have left is committed by a first entry of this one.
-      Command c;
-      c.mutable_renew();
-      node_->propose(now, c, [](const absl::Status&, const Applied&) {});
-    } else {
-      lease_manager_.follows();
-    }
-  }
-  if (leads) {
-    for (const Command& c : lease_manager_.decide(now, node_->lease_state_machine(), swim_.living()))
-      node_->propose(now, c, [](const absl::Status&, const Applied&) {});
-  }
-  if (votes()) {
-    heard_voter_ = now;
-    leader_at_ = node_->leader_address();
-    voters_ = node_->voters().empty() ? voters_ : node_->voters();
-  }
-  if (!leader_at_.empty()) {
-    leader_since_ = now;
-    if (!had_leader_) event("leader_known", {{"by", leader_at_}});
-    had_leader_ = true;
-  } else if (had_leader_ && now - leader_since_ > kLeaderless) {
-    had_leader_ = false;
-    event("leader_unknown", {{"jobs", "rest"}, {"routers", "each do for themselves"}}, true);
+void CoordinationProtocol::leave(Micros now) {
+  if (leaving_since_ >= 0) return;
+  now_ = now;
+  leaving_since_ = now;
+  lease_holder_.release_all();
+  run_steps(now);
+  swim_.leave(now);
+}
+
+bool CoordinationProtocol::has_left(Micros now) const {
+  if (leaving_since_ < 0) return false;
+  if (now - leaving_since_ > kMaxLeaveDuration) return true;
+  return owns_no_job() && !(is_transferring_leadership_ && raft_node_->is_leader());
+}
+
+bool CoordinationProtocol::owns_no_job() const {
+  for (const Job& job : lease_table().jobs()) {
+    if (job.owner() == settings_.self.name && job.birth() == swim_.self().birth) return false;
   }
-  if (displaced_) return;
-  if ((!votes()) && now >= next_read_ && !voters_.empty() && leaving_ < 0) {
-    next_read_ = now + settings_.read_every / 2 +
-                 std::uniform_int_distribution<Micros>(0, settings_.read_every)(random_);
-    // The leader's word is kept for as long as it answers.
-    if (heard_voter_ >= 0 && now - heard_voter_ > 3 * settings_.read_every) leader_at_.clear();
-    Packet p = swim_.packet("");
-    p.mutable_read()->set_revision(table_.revision());
-    send(voter_at(now), p);
+  return true;
+}
+
+void CoordinationProtocol::run_steps(Micros now) {
+  log_membership_changes();
+  check_displacement();
+  check_halt();
+  follow_leadership(now);
+  propose_grants(now);
+  copy_voter_state(now);
+  follow_known_leader(now);
+  if (is_displaced_) return;
+  poll_lease_table(now);
+  renew_and_release(now);
+  notify_lease_changes(now);
+  transfer_leadership_on_leave(now);
+  pending_requests_.forget_old(now);
+}
+
+void CoordinationProtocol::log_membership_changes() {
+  for (const membership::Peer& peer : swim_.changed()) {
+    log_event(event_name(peer.standing), {{"peer", peer.name},
+                                          {"at", peer.at},
+                                          {"site", peer.site},
+                                          {"incarnation", std::to_string(peer.incarnation)}});
   }
-  lease_holder_.record(table(), swim_.self().birth);
-  for (const Release& r : lease_holder_.releases(now)) {
-    Command c;
-    *c.mutable_release() = r;
-    ask(now, c);
+}
+
+// A newer process of this name takes part in this one's place.
+void CoordinationProtocol::check_displacement() {
+  if (!swim_.displaced() || is_displaced_) return;
+  is_displaced_ = true;
+  log_event("displaced_by_newer_process",
+            {{"name", settings_.self.name}, {"by", "a process of this name that began later"}}, true);
+  lease_holder_.on_lease_table({}, 0);
+}
+
+void CoordinationProtocol::check_halt() {
+  if (!raft_node_ || !raft_node_->is_halted() || is_halt_logged_) return;
+  is_halt_logged_ = true;
+  log_event("raft_node_halted",
+            {{"why", raft_node_->halt_reason()}, {"votes", "no more, until the next start"}}, true);
+}
+
+void CoordinationProtocol::follow_leadership(Micros now) {
+  const bool leads = is_leader();
+  if (leads == was_leader_) return;
+  was_leader_ = leads;
+  log_event(leads ? "leadership_acquired" : "leadership_lost",
+            {{"term", std::to_string(raft_node_->term())}});
+  if (!leads) return lease_manager_.on_leadership_lost();
+  lease_manager_.on_leadership_acquired(now);
+  // Entries of earlier terms are committed by a first entry of this term (Raft, section 5.4.2).
+  Command empty_renewal;
+  empty_renewal.mutable_renew();
+  raft_node_->propose(now, empty_renewal, [](const absl::Status&, const Applied&) {});
+}
+
+// A grant that is not committed is decided on again, so nobody waits for the end of a proposal.
+void CoordinationProtocol::propose_grants(Micros now) {
+  if (!was_leader_) return;
+  for (const Command& grant :
+       lease_manager_.decide_grants(now, raft_node_->lease_state_machine(), swim_.living()))
+    raft_node_->propose(now, grant, [](const absl::Status&, const Applied&) {});
+}
+
+void CoordinationProtocol::copy_voter_state(Micros now) {
+  if (!is_voting()) return;
+  voter_answered_at_ = now;
+  leader_address_ = raft_node_->leader_address();
+  const std::vector<Voter> voters = raft_node_->voters();
+  if (!voters.empty()) voters_ = voters;
+}
+
+void CoordinationProtocol::follow_known_leader(Micros now) {
+  if (!leader_address_.empty()) {
+    leader_known_at_ = now;
+    if (!has_known_leader_) log_event("leader_known", {{"by", leader_address_}});
+    has_known_leader_ = true;
+  } else if (has_known_leader_ && now - leader_known_at_ > kLeaderUnknownTimeout) {
+    has_known_leader_ = false;
+    log_event("leader_unknown", {{"jobs", "rest"}, {"routers", "each do for themselves"}}, true);
   }
-  if (const auto renew = lease_holder_.renewal(now)) {
-    Command c;
-    *c.mutable_renew() = *renew;
-    ask(now, c);
+}
+
+void CoordinationProtocol::poll_lease_table(Micros now) {
+  if (is_voting() || now < next_poll_ || voters_.empty() || leaving_since_ >= 0) return;
+  const Micros period = settings_.lease_table_poll_period;
+  next_poll_ = now + period / 2 + std::uniform_int_distribution<Micros>(0, period)(random_);
+  if (voter_answered_at_ >= 0 && now - voter_answered_at_ > kPollsUntilLeaderForgotten * period)
+    leader_address_.clear();
+  Packet packet = swim_.packet("");
+  packet.mutable_read()->set_revision(lease_table_.revision());
+  send(next_voter_address(), packet);
+}
+
+void CoordinationProtocol::renew_and_release(Micros now) {
+  lease_holder_.on_lease_table(lease_table(), swim_.self().birth);
+  for (const Release& release : lease_holder_.take_releases(now)) {
+    Command command;
+    *command.mutable_release() = release;
+    send_command(now, command);
   }
-  for (const LeaseHolder::Change& c : lease_holder_.changes(now)) {
-    event(c.starts ? "lease_acquired" : "lease_released",
-          c.starts ? std::vector<std::pair<std::string, std::string>>{{"job", c.job},
-                                                                      {"number", std::to_string(c.number)}}
-                   : std::vector<std::pair<std::string, std::string>>{
-                         {"job", c.job}, {"number", std::to_string(c.number)}, {"why", c.why}});
-    words_.push_back(
-        {c.starts ? Word::What::starts : Word::What::stops, c.job, c.number, {}, "", 0, {}, "", 0});
+  if (const std::optional<Renew> renewal = lease_holder_.take_renewal(now)) {
+    Command command;
+    *command.mutable_renew() = *renewal;
+    send_command(now, command);
   }
-  // Who leads and goes has another voter lead, once its own jobs are given up: else nobody would grant or
-  // renew anything until the others have missed it and held an election.
-  if (leaving_ >= 0 && !handing_ && node_ && node_->is_leader() && free_of_jobs()) {
-    handing_ = node_->transfer_leadership(now);
-    if (handing_) event("leadership_transferred", {{"term", std::to_string(node_->term())}});
+}
+
+void CoordinationProtocol::notify_lease_changes(Micros now) {
+  for (const LeaseHolder::Change& change : lease_holder_.take_changes(now)) {
+    std::vector<std::pair<std::string, std::string>> fields{{"job", change.job},
+                                                            {"number", std::to_string(change.number)}};
+    if (!change.acquired) fields.emplace_back("why", change.reason);
+    log_event(change.acquired ? "lease_acquired" : "lease_released", std::move(fields));
+    JobNotification notification;
+    notification.kind =
+        change.acquired ? JobNotification::Kind::lease_acquired : JobNotification::Kind::lease_released;
+    notification.job = change.job;
+    notification.number = change.number;
+    notifications_.push_back(std::move(notification));  // never dropped, unlike those of datagrams
   }
-  std::erase_if(asked_, [now](const auto& a) { return now - a.second.sent > kForgetAsked; });
 }
 
-// ---- requests to the voters
+// Once its own leases are released: without a transfer nobody would grant or renew anything until the other
+// voters have missed this leader and held an election.
+void CoordinationProtocol::transfer_leadership_on_leave(Micros now) {
+  if (leaving_since_ < 0 || is_transferring_leadership_ || !is_leader() || !owns_no_job()) return;
+  is_transferring_leadership_ = raft_node_->transfer_leadership(now);
+  if (is_transferring_leadership_)
+    log_event("leadership_transferred", {{"term", std::to_string(raft_node_->term())}});
+}
 
-// The leader, if one is known; else the voters by turns.
-std::string CoordinationProtocol::voter_at(Micros) {
-  if (!leader_at_.empty() && leader_at_ != settings_.self.at) return leader_at_;
+// The leader, if one is known; else each voter in its turn.
+std::string CoordinationProtocol::next_voter_address() {
+  if (!leader_address_.empty() && leader_address_ != settings_.self.at) return leader_address_;
   for (std::size_t i = 0; i < voters_.size(); ++i) {
-    const Voter& v = voters_[voter_turn_++ % voters_.size()];
-    if (v.at() != settings_.self.at) return v.at();
+    const Voter& voter = voters_[next_voter_++ % voters_.size()];
+    if (voter.at() != settings_.self.at) return voter.at();
   }
   return "";
 }
 
-void CoordinationProtocol::ask(Micros now, const Command& command) {
-  if (node_ && node_->is_leader()) {
-    goes_in(now, command);
-    node_->propose(
-        now, command,
-        [this, sent = now, renew = command.has_renew()](const absl::Status& status, const Applied& a) {
-          if (status.ok() && renew) lease_holder_.renewed(sent, a.renewed);
-        });
+void CoordinationProtocol::send_command(Micros now, const Command& command) {
+  const bool is_renewal = command.has_renew();
+  if (is_leader()) {
+    count_proposed_renewal(now, command);
+    raft_node_->propose(now, command,
+                        [this, now, is_renewal](const absl::Status& status, const Applied& applied) {
+                          if (status.ok() && is_renewal) lease_holder_.on_renewed(now, applied.renewed);
+                        });
     return;
   }
-  const std::string at = voter_at(now);
-  if (at.empty() || asked_.size() >= kMostAsked) return;
-  Packet p = swim_.packet("");
-  p.mutable_request()->set_number(++numbers_);
-  *p.mutable_request()->mutable_command() = command;
-  asked_[numbers_] = {now, command.has_renew()};
-  // One that does not answer is not asked for ever.
-  for (const auto& [number, a] : asked_) {
-    if (number != numbers_ && now - a.sent > settings_.ask_again && now - a.sent < 4 * settings_.ask_again &&
-        !node_)
-      leader_at_.clear();
-  }
-  send(at, p);
+  const std::string address = next_voter_address();
+  if (address.empty() || pending_requests_.is_full()) return;
+  Packet packet = swim_.packet("");
+  packet.mutable_request()->set_number(pending_requests_.add(now, is_renewal));
+  *packet.mutable_request()->mutable_command() = command;
+  if (!raft_node_ && pending_requests_.has_timed_out(now, settings_.request_timeout)) leader_address_.clear();
+  send(address, packet);
 }
 
-void CoordinationProtocol::answered(Micros now, const Reply& reply) {
-  const auto it = asked_.find(reply.number());
-  if (it == asked_.end()) return;
-  const Asked asked = it->second;
-  asked_.erase(it);
+void CoordinationProtocol::on_reply(Micros now, const Reply& reply) {
+  const std::optional<PendingRequest> request = pending_requests_.take(reply.number());
+  if (!request) return;
   if (!reply.done()) {
-    if (!node_) leader_at_ = reply.leader_at();
+    if (!raft_node_) leader_address_ = reply.leader_at();
     return;
   }
-  heard_voter_ = now;
-  if (asked.renew)
-    lease_holder_.renewed(asked.sent, std::vector<HeldLease>(reply.held().begin(), reply.held().end()));
-}
-
-void CoordinationProtocol::answer(Micros now, const std::string& to, const Request& request) {
-  const auto reply = [this, to, number = request.number()](const absl::Status& status,
-                                                           const Applied& applied) {
-    Packet p = swim_.packet("");
-    Reply& r = *p.mutable_reply();
-    r.set_number(number);
-    r.set_done(status.ok());
-    r.set_why(std::string(status.message()));
-    if (!status.ok()) r.set_leader_at(leader_at_);
-    for (const HeldLease& h : applied.renewed) *r.add_held() = h;
-    send(to, p);
+  voter_answered_at_ = now;
+  if (request->is_renewal)
+    lease_holder_.on_renewed(request->sent_at, {reply.held().begin(), reply.held().end()});
+}
+
+void CoordinationProtocol::on_request(Micros now, const std::string& sender_address, const Request& request) {
+  const auto reply = [this, sender_address, number = request.number()](const absl::Status& status,
+                                                                       const Applied& applied) {
+    Packet packet = swim_.packet("");
+    Reply& out = *packet.mutable_reply();
+    out.set_number(number);
+    out.set_done(status.ok());
+    out.set_why(std::string(status.message()));
+    if (!status.ok()) out.set_leader_at(leader_address_);
+    for (const HeldLease& held : applied.renewed) *out.add_held() = held;
+    send(sender_address, packet);
   };
-  if (!node_ || !node_->is_leader()) {
-    if (leader_at_ == settings_.self.at) leader_at_.clear();
+  if (!is_leader()) {
+    if (leader_address_ == settings_.self.at) leader_address_.clear();
     return reply(absl::FailedPreconditionError("not the leader"), {});
   }
-  if (request.has_voter_change()) return node_->change_voters(now, request.voter_change(), reply);
-  // Only the leader grants.
+  if (request.has_voter_change()) return raft_node_->change_voters(now, request.voter_change(), reply);
+  if (const absl::Status status = check_request(request); !status.ok()) return reply(status, {});
+  const Command& command = request.command();
+  if (command.has_move() &&
+      raft_node_->lease_state_machine().find(command.move().job())->owner() == command.move().to())
+    return reply(absl::OkStatus(), {});
+  count_proposed_renewal(now, command);
+  raft_node_->propose(now, command, reply);
+}
+
+absl::Status CoordinationProtocol::check_request(const Request& request) const {
+  // Only the leader decides on grants.
   if (!request.has_command() || request.command().has_grant())
-    return reply(absl::FailedPreconditionError("not for routers to ask"), {});
-  if (request.command().has_move()) {
-    const Job* job = node_->lease_state_machine().find(request.command().move().job());
-    if (job == nullptr) return reply(absl::FailedPreconditionError("no such job"), {});
-    const auto living = swim_.living();
-    const bool there = std::any_of(living.begin(), living.end(), [&](const membership::Peer& p) {
-      return p.name == request.command().move().to() && p.standing == coordination::ALIVE;
-    });
-    if (!there) return reply(absl::FailedPreconditionError("no such router is alive"), {});
-    if (job->owner() == request.command().move().to()) return reply(absl::OkStatus(), {});
-  }
-  goes_in(now, request.command());
-  node_->propose(now, request.command(), reply);
+    return absl::PermissionDeniedError("not for routers to ask");
+  return request.command().has_move() ? check_move(request.command().move()) : absl::OkStatus();
 }
 
-// What goes into the log counts already for what is decided next.
-void CoordinationProtocol::goes_in(Micros now, const Command& command) {
-  for (const HeldLease& h : node_->lease_state_machine().still(command.renew()))
-    lease_manager_.renewed(now, command.renew().owner(), h);
+absl::Status CoordinationProtocol::check_move(const Move& move) const {
+  if (raft_node_->lease_state_machine().find(move.job()) == nullptr)
+    return absl::NotFoundError("no such job");
+  const std::vector<membership::Peer> living = swim_.living();
+  const bool is_alive = std::any_of(living.begin(), living.end(), [&](const membership::Peer& peer) {
+    return peer.name == move.to() && peer.standing == coordination::ALIVE;
+  });
+  return is_alive ? absl::OkStatus() : absl::NotFoundError("no such router is alive");
 }
 
-// ---- the record
+// A renewal that goes into the log counts already for the grants that are decided next.
+void CoordinationProtocol::count_proposed_renewal(Micros now, const Command& command) {
+  for (const HeldLease& held : raft_node_->lease_state_machine().still_held(command.renew()))
+    lease_manager_.on_renewed(now, command.renew().owner(), held);
+}
 
-Record CoordinationProtocol::record(std::uint64_t known) const {
-  Record r;
-  r.set_revision(table().revision());
-  if (table().revision() > known) *r.mutable_table() = table();
-  for (const Voter& v : voters_) *r.add_voters() = v;
-  r.set_leader_at(leader_at_);
-  return r;
+void CoordinationProtocol::on_applied(const Command& command, const Applied& applied) {
+  for (const HeldLease& held : applied.renewed)
+    lease_manager_.on_renewed(now_, command.renew().owner(), held);
+  if (!applied.changed) return;
+  const LeaseStateMachine& leases = raft_node_->lease_state_machine();
+  if (command.has_grant()) {
+    lease_manager_.on_granted(now_, applied.job);
+    log_event("lease_granted", {{"job", applied.job},
+                                {"number", std::to_string(leases.table().last_number())},
+                                {"to", command.grant().owner()}});
+  }
+  if (!raft_node_->is_leader()) return;
+  const Job* job = leases.find(applied.job);
+  if (job == nullptr) return;
+  push_record(job->owner());
+  if (!job->wanted().empty()) push_record(job->wanted());
 }
 
-void CoordinationProtocol::push(const std::string& router) {
+Record CoordinationProtocol::make_record(std::uint64_t known_revision) const {
+  Record record;
+  record.set_revision(lease_table().revision());
+  if (lease_table().revision() > known_revision) *record.mutable_table() = lease_table();
+  for (const Voter& voter : voters_) *record.add_voters() = voter;
+  record.set_leader_at(leader_address_);
+  return record;
+}
+
+void CoordinationProtocol::push_record(const std::string& router) {
   if (router == settings_.self.name) return;
   const auto it = swim_.others().find(router);
   if (it == swim_.others().end()) return;
-  Packet p = swim_.packet(router);
-  *p.mutable_record() = record(0);
-  send(it->second.at, p);
+  Packet packet = swim_.packet(router);
+  *packet.mutable_record() = make_record(0);
+  send(it->second.at, packet);
 }
 
-void CoordinationProtocol::take_record(Micros now, const Record& r) {
-  if (votes()) return;  // a voter has its own
-  heard_voter_ = now;
-  leader_at_ = r.leader_at();
-  if (r.voters_size() > 0) voters_.assign(r.voters().begin(), r.voters().end());
-  if (r.has_table() && r.revision() > table_.revision()) table_ = r.table();
+void CoordinationProtocol::on_record(Micros now, const Record& record) {
+  if (is_voting()) return;  // a voter applies the log itself
+  voter_answered_at_ = now;
+  leader_address_ = record.leader_at();
+  if (record.voters_size() > 0) voters_.assign(record.voters().begin(), record.voters().end());
+  if (record.has_table() && record.revision() > lease_table_.revision()) lease_table_ = record.table();
 }
 
-// ---- datagrams
-
-void CoordinationProtocol::send(const std::string& at, const Packet& p) {
-  if (!at.empty()) out_.push_back({at, p.SerializeAsString()});
+void CoordinationProtocol::send(const std::string& address, const Packet& packet) {
+  if (!address.empty()) datagrams_.push_back({address, packet.SerializeAsString()});
 }
 
-std::vector<membership::Datagram> CoordinationProtocol::take() {
+std::vector<membership::Datagram> CoordinationProtocol::take_datagrams() {
   std::vector<membership::Datagram> out = swim_.take();
-  if (out.empty()) return std::exchange(out_, {});
-  std::move(out_.begin(), out_.end(), std::back_inserter(out));
-  out_.clear();
+  if (out.empty()) return std::exchange(datagrams_, {});
+  std::move(datagrams_.begin(), datagrams_.end(), std::back_inserter(out));
+  datagrams_.clear();
   return out;
 }
 
-void CoordinationProtocol::receive(Micros now, const std::string& from, std::string_view bytes) {
+// A query for the status comes from a command that may not know the fleet's name.
+bool CoordinationProtocol::is_for_us(const Packet& packet) const {
+  const bool is_our_fleet = packet.fleet() == settings_.membership.fleet;
+  const bool is_open_query = packet.has_query() && packet.fleet().empty();
+  return (is_our_fleet || is_open_query) && (packet.to().empty() || packet.to() == settings_.self.name);
+}
+
+void CoordinationProtocol::receive(Micros now, const std::string& sender_address, std::string_view bytes) {
   now_ = now;
-  Packet p;
-  const bool ours = p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) &&
-                    (p.fleet() == settings_.peers.fleet || (p.has_query() && p.fleet().empty())) &&
-                    (p.to().empty() || p.to() == settings_.self.name);
-  if (ours && p.has_query()) {
-    Packet answer = swim_.packet("");
-    *answer.mutable_status() = status(now);
-    if (add_status_) add_status_(now, *answer.mutable_status());
-    return send(from, answer);
-  }
-  if (!ours || p.what_case() < Packet::kRaft) {
-    swim_.receive(now, from, bytes);
-    return settle(now);
+  Packet packet;
+  const bool is_ours =
+      packet.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) && is_for_us(packet);
+  if (is_ours && packet.has_query()) return send_status(now, sender_address);
+  // The kinds below kRaft are membership's, which also counts what is not ours.
+  if (!is_ours || packet.what_case() < Packet::kRaft) {
+    swim_.receive(now, sender_address, bytes);
+    return run_steps(now);
   }
-  if (displaced_) return;
-  switch (p.what_case()) {
+  if (is_displaced_) return;
+  on_packet(now, sender_address, packet);
+  run_steps(now);
+}
+
+void CoordinationProtocol::send_status(Micros now, const std::string& address) {
+  Packet packet = swim_.packet("");
+  *packet.mutable_status() = status(now);
+  if (extend_status_) extend_status_(now, *packet.mutable_status());
+  send(address, packet);
+}
+
+void CoordinationProtocol::on_packet(Micros now, const std::string& sender_address, const Packet& packet) {
+  switch (packet.what_case()) {
     case Packet::kRaft:
-      if (node_) node_->receive(now, p.raft());
+      if (raft_node_) raft_node_->receive(now, packet.raft());
       break;
     case Packet::kRequest:
-      answer(now, from, p.request());
+      on_request(now, sender_address, packet.request());
       break;
     case Packet::kReply:
-      answered(now, p.reply());
+      on_reply(now, packet.reply());
       break;
     case Packet::kRead: {
-      if (!votes()) break;
-      Packet back = swim_.packet(p.from());
-      *back.mutable_record() = record(p.read().revision());
-      send(from, back);
+      if (!is_voting()) break;
+      Packet answer = swim_.packet(packet.from());
+      *answer.mutable_record() = make_record(packet.read().revision());
+      send(sender_address, answer);
       break;
     }
     case Packet::kRecord:
-      take_record(now, p.record());
+      on_record(now, packet.record());
       break;
-    case Packet::kEffect: {
-      const Effect& e = p.effect();
-      const std::uint64_t seen = fence_.seen(e.job());
-      if (!fence_.admit(e.job(), e.number())) {
-        event("stale_fencing_token",
-              {{"job", e.job()},
-               {"number", std::to_string(e.number())},
-               {"seen", std::to_string(seen)},
-               {"from", p.from()}},
-              true);
-        break;
-      }
-      if (seen != e.number())
-        event("lease_effect_applied",
-              {{"job", e.job()}, {"number", std::to_string(e.number())}, {"from", p.from()}});
-      ++effects_taken_;
-      if (words_.size() < kMostWords)
-        words_.push_back({Word::What::effect, e.job(), e.number(), e, from, e.rev(), {}, "", 0});
+    case Packet::kEffect:
+      on_effect(sender_address, packet);
       break;
-    }
     case Packet::kShare:
-      if (words_.size() < kMostWords)
-        words_.push_back({Word::What::share, "", 0, {}, from, 0, p.share(), p.from(), p.birth()});
+      on_shared_state(sender_address, packet);
       break;
     case Packet::kWant:
-      if (words_.size() < kMostWords)
-        words_.push_back({Word::What::want, p.want().job(), 0, {}, from, p.want().rev(), {}, "", 0});
+      on_list_request(sender_address, packet.want());
       break;
     default:
       break;
   }
-  settle(now);
 }
 
-bool CoordinationProtocol::effect(Micros now, Effect effect, const std::string& site, const std::string& to) {
-  if (!lease_holder_.proved(now, effect.job())) {
-    ++effects_unproved_;
+void CoordinationProtocol::on_effect(const std::string& sender_address, const Packet& packet) {
+  const Effect& effect = packet.effect();
+  const std::string token = std::to_string(effect.number());
+  const std::uint64_t highest = fencing_tokens_.highest(effect.job());
+  if (!fencing_tokens_.admit(effect.job(), effect.number())) {
+    log_event("stale_fencing_token",
+              {{"job", effect.job()},
+               {"number", token},
+               {"seen", std::to_string(highest)},
+               {"from", packet.from()}},
+              true);
+    return;
+  }
+  if (highest != effect.number())
+    log_event("lease_effect_applied", {{"job", effect.job()}, {"number", token}, {"from", packet.from()}});
+  ++effects_admitted_;
+  JobNotification notification;
+  notification.kind = JobNotification::Kind::effect;
+  notification.job = effect.job();
+  notification.number = effect.number();
+  notification.effect = effect;
+  notification.sender_address = sender_address;
+  notification.revision = effect.rev();
+  notify(std::move(notification));
+}
+
+void CoordinationProtocol::on_shared_state(const std::string& sender_address, const Packet& packet) {
+  JobNotification notification;
+  notification.kind = JobNotification::Kind::shared_state;
+  notification.sender_address = sender_address;
+  notification.shared_state = packet.share();
+  notification.sender = packet.from();
+  notification.sender_birth = packet.birth();
+  notify(std::move(notification));
+}
+
+void CoordinationProtocol::on_list_request(const std::string& sender_address, const ListRequest& request) {
+  JobNotification notification;
+  notification.kind = JobNotification::Kind::list_requested;
+  notification.job = request.job();
+  notification.sender_address = sender_address;
+  notification.revision = request.rev();
+  notify(std::move(notification));
+}
+
+void CoordinationProtocol::notify(JobNotification notification) {
+  if (notifications_.size() < kMaxNotifications) notifications_.push_back(std::move(notification));
+}
+
+bool CoordinationProtocol::send_effect(Micros now, Effect effect, const std::string& site,
+                                       const std::string& address) {
+  if (!lease_holder_.has_valid_lease(now, effect.job())) {
+    ++effects_without_lease_;
     return false;
   }
-  for (const HeldLease& h : lease_holder_.held(now)) {
-    if (h.job() == effect.job()) effect.set_number(h.number());
+  for (const HeldLease& held : lease_holder_.valid_leases(now)) {
+    if (held.job() == effect.job()) effect.set_number(held.number());
   }
-  effect.set_sequence(++sequence_);
-  fence_.admit(effect.job(), effect.number());
+  effect.set_sequence(++last_effect_sequence_);
+  fencing_tokens_.admit(effect.job(), effect.number());
   ++effects_sent_;
-  if (!to.empty()) {
-    Packet p = swim_.packet("");
-    *p.mutable_effect() = effect;
-    send(to, p);
+  if (!address.empty()) {
+    Packet packet = swim_.packet("");
+    *packet.mutable_effect() = effect;
+    send(address, packet);
     return true;
   }
   for (const auto& [name, peer] : swim_.others()) {
     if (peer.standing == coordination::DEAD || peer.standing == coordination::LEFT) continue;
     if (!site.empty() && peer.site != site) continue;
-    Packet p = swim_.packet(name);
-    *p.mutable_effect() = effect;
-    send(peer.at, p);
+    Packet packet = swim_.packet(name);
+    *packet.mutable_effect() = effect;
+    send(peer.at, packet);
   }
   return true;
 }
 
-const membership::Peer* CoordinationProtocol::owner(const std::string& job) const {
-  for (const Job& j : table().jobs()) {
-    if (j.name() != job || j.owner().empty()) continue;
-    const auto it = swim_.others().find(j.owner());
+const membership::Peer* CoordinationProtocol::find_owner(const std::string& job_name) const {
+  for (const Job& job : lease_table().jobs()) {
+    if (job.name() != job_name || job.owner().empty()) continue;
+    const auto it = swim_.others().find(job.owner());
     return it == swim_.others().end() ? nullptr : &it->second;
   }
   return nullptr;
 }
 
-void CoordinationProtocol::want(Micros, const std::string& job, std::uint32_t rev) {
-  const membership::Peer* to = owner(job);
-  if (to == nullptr) return;
-  Packet p = swim_.packet(to->name);
-  p.mutable_want()->set_job(job);
-  p.mutable_want()->set_rev(rev);
-  send(to->at, p);
+void CoordinationProtocol::request_list(const std::string& job, std::uint32_t revision) {
+  const membership::Peer* owner = find_owner(job);
+  if (owner == nullptr) return;
+  Packet packet = swim_.packet(owner->name);
+  packet.mutable_want()->set_job(job);
+  packet.mutable_want()->set_rev(revision);
+  send(owner->at, packet);
 }
 
-void CoordinationProtocol::share(const std::string& name, const std::string& at,
-                                 const SharedStateMessage& share) {
-  if (displaced_) return;
-  Packet p = swim_.packet(name);
-  *p.mutable_share() = share;
-  send(at, p);
+void CoordinationProtocol::send_shared_state(const std::string& router, const std::string& address,
+                                             const SharedStateMessage& message) {
+  if (is_displaced_) return;
+  Packet packet = swim_.packet(router);
+  *packet.mutable_share() = message;
+  send(address, packet);
 }
 
-void CoordinationProtocol::draw(Micros now, const StockDraw& draw) {
-  Command c;
-  *c.mutable_draw() = draw;
-  ask(now, c);
-}
-
-// ---- the end, and what is told
-
-void CoordinationProtocol::leave(Micros now) {
-  if (leaving_ >= 0) return;
-  now_ = now;
-  leaving_ = now;
-  lease_holder_.give_up_all();
-  settle(now);
-  swim_.leave(now);
-}
-
-bool CoordinationProtocol::left(Micros now) const {
-  if (leaving_ < 0) return false;
-  if (now - leaving_ > kMostLeaving) return true;
-  return free_of_jobs() && !(handing_ && node_->is_leader());
-}
-
-bool CoordinationProtocol::free_of_jobs() const {
-  for (const Job& j : table().jobs()) {
-    if (j.owner() == settings_.self.name && j.birth() == swim_.self().birth) return false;
-  }
-  return true;
-}
-
-Status CoordinationProtocol::status(Micros now) const {
-  Status s;
-  s.set_name(settings_.self.name);
-  s.set_site(settings_.self.site);
-  s.set_birth(swim_.self().birth);
-  s.set_leader_at(leader_at_);
-  s.set_displaced(displaced_);
-  s.set_clock_us(now);
-  if (node_) {
-    s.set_role(node_->role());
-    s.set_why_halted(node_->halt_reason());
-    s.set_term(node_->term());
-    s.set_index(node_->applied_index());
-    s.set_last_index(node_->last_index());
-  }
-  *s.mutable_table() = table();
-  for (const Voter& v : voters_) *s.add_voters() = v;
-  for (const HeldLease& h : lease_holder_.held(now)) *s.add_held() = h;
-  *s.add_routers() = membership::word_of(swim_.self());
-  for (const auto& [name, p] : swim_.others()) *s.add_routers() = membership::word_of(p);
-  s.set_health(swim_.health());
-  s.set_record_age_ms(heard_voter_ < 0 ? UINT64_MAX
-                                       : static_cast<std::uint64_t>((now - heard_voter_) / 1000));
-  const membership::Counters& c = swim_.counters();
-  auto& counters = *s.mutable_counters();
-  counters["peers_sent"] = c.sent;
-  counters["peers_received"] = c.received;
-  counters["peers_bytes_sent"] = c.bytes_sent;
-  counters["peers_other_fleet"] = c.other_fleet;
-  counters["peers_unreadable"] = c.unreadable;
-  counters["peers_not_for_us"] = c.not_for_us;
-  counters["peers_absurd"] = c.absurd;
-  counters["peers_too_many"] = c.too_many;
-  counters["peers_probes"] = c.probes;
-  counters["peers_probes_failed"] = c.probes_failed;
-  counters["peers_suspected"] = c.suspected;
-  counters["peers_refuted"] = c.refuted;
-  counters["peers_late_ticks"] = c.late_ticks;
-  counters["effects_sent"] = effects_sent_;
-  counters["effects_taken"] = effects_taken_;
-  counters["effects_refused"] = fence_.refused();
-  counters["effects_unproved"] = effects_unproved_;
-  return s;
+void CoordinationProtocol::draw_from_stock(Micros now, const StockDraw& draw) {
+  Command command;
+  *command.mutable_draw() = draw;
+  send_command(now, command);
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -1,158 +1,224 @@
-// A router's part in its fleet: who is there (membership::Swim), the voter if it is one (Node), what the
-// leader decides (LeaseManager), its own jobs (LeaseHolder) and what it takes from other owners (Fence), and
-// the datagrams between them. Pure: time and datagrams are handed in, what is to be sent is taken out. One
-// clock for all times, which also runs while the machine sleeps.
+// A router's part in its fleet, without I/O: membership (membership::Swim), the voter if this router is one
+// (RaftNode), the leader's decisions (LeaseManager), this router's own jobs (LeaseHolder), the fencing tokens
+// that it has seen (FencingTokens), and the datagrams between routers.
+//
+// Datagrams and time are handed in; datagrams, log events and notifications are taken out. One thread
+// (CoordinationRuntime's), one clock for all times, which also runs while the machine sleeps.
+//
+// docs/fleet.md describes jobs, leases and what happens when routers fail.
 #pragma once
 
-#include <deque>
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <random>
 #include <string>
+#include <string_view>
 #include <utility>
 #include <vector>
 
+#include "absl/status/status.h"
 #include "coordination/fencing_token.h"
 #include "coordination/lease_holder.h"
 #include "coordination/lease_manager.h"
+#include "coordination/pending_requests.h"
 #include "coordination/raft_node.h"
 #include "membership/swim.h"
 
 namespace flintglade::coordination {
 
-struct VoterAt {
+// A voter as the operator's file names it. The address is host:port.
+struct VoterAddress {
   std::string router;
   std::uint64_t id = 0;
-  std::string at;
+  std::string address;
 };
 
 struct CoordinationSettings {
-  membership::Settings peers;
+  membership::Settings membership;
   membership::Self self;
-  LeaseTimes lease;
-  RaftTimes node;
-  std::vector<VoterAt> voters;  // by the file; the record may have changed them since
-  std::vector<Wanted> wanted;
-  Micros read_every = 500 * core::kMilli;  // the record, by who is no voter
-  Micros ask_again = 250 * core::kMilli;   // a voter that does not answer
+  LeaseTimes lease_times;
+  RaftTimes raft_times;
+  std::vector<VoterAddress> voters;  // by the file; the lease table's voters may have changed since
+  std::vector<JobSettings> jobs;
+  // How often a router that does not vote asks a voter for the lease table.
+  Micros lease_table_poll_period = 500 * core::kMilli;
+  // A leader that leaves a request unanswered for so long is asked no more.
+  Micros request_timeout = 250 * core::kMilli;
 };
 
-// Something worth a line in the log.
+// A line for the log.
 struct Event {
   std::string name;
   std::vector<std::pair<std::string, std::string>> fields;
   bool warning = false;
 };
 
-class CoordinationProtocol {
- public:
-  // What comes out for the jobs of this router.
-  struct Word {
-    enum class What { starts, stops, effect, want, share } what;
-    std::string job;
-    std::uint64_t number = 0;
-    Effect effect;     // of an admitted effect
-    std::string from;  // of a want or a share: where it came from
-    std::uint32_t rev = 0;
-    SharedStateMessage share;
-    std::string who;  // of a share: whose, and of which life
-    std::uint64_t birth = 0;
+// What happened to a job of this router, or what another router sent for one. Fields that a kind does not
+// name are empty.
+struct JobNotification {
+  enum class Kind {
+    lease_acquired,  // job, number: this router may do the job from now on
+    lease_released,  // job, number: it may not any more
+    effect,  // job, number, effect, sender_address, revision: of another owner, admitted by its fencing token
+    list_requested,  // job, sender_address, revision: a router asks for what came after this revision of the
+                     // list
+    shared_state,    // shared_state, sender, sender_birth, sender_address
   };
+  Kind kind = Kind::lease_acquired;
+  std::string job;
+  std::uint64_t number = 0;  // the fencing token
+  Effect effect;
+  std::string sender_address;
+  std::uint32_t revision = 0;
+  SharedStateMessage shared_state;
+  std::string sender;
+  std::uint64_t sender_birth = 0;  // tells the processes of one router apart
+};
 
+class CoordinationProtocol {
+ public:
   CoordinationProtocol(CoordinationSettings settings, std::uint64_t seed);
-  ~CoordinationProtocol() { node_.reset(); }  // what it had under way is answered, and that needs the rest
+  // Ends what the voter has under way, which needs the other members.
+  ~CoordinationProtocol() { raft_node_.reset(); }
   CoordinationProtocol(const CoordinationProtocol&) = delete;
   CoordinationProtocol& operator=(const CoordinationProtocol&) = delete;
-  // This router votes: memory is what its storage holds. Before start.
-  absl::Status vote(PersistentState memory, RaftStorage& storage);
+
+  // Makes this router a voter, before start(). `state` is what `storage` holds; `storage` outlives this
+  // object. After an error this object must not be used.
+  absl::Status start_voting(PersistentState state, RaftStorage& storage);
 
   void start(Micros now);
-  void receive(Micros now, const std::string& from, std::string_view bytes);
+  void receive(Micros now, const std::string& sender_address, std::string_view bytes);
   void tick(Micros now);
-  Micros next() const;
-  // Gives up its jobs, tells the others, and takes no new ones. left() when the voters know, or it has been
-  // long enough.
+  // When to call tick().
+  Micros next_timer() const;
+  // Releases this router's leases, tells the others, and takes no new ones.
   void leave(Micros now);
-  bool left(Micros now) const;
-
-  // Writes an effect to all routers of the site, or to one address, if the lease is proved at this moment.
-  // False: nothing was written.
-  bool effect(Micros now, Effect effect, const std::string& site, const std::string& to = "");
-  // To one router: what all share.
-  void share(const std::string& name, const std::string& at, const SharedStateMessage& share);
-  // For the owner of a job: takes a part of a stock, once the record says so.
-  void draw(Micros now, const StockDraw& draw);
-  // Asks the owner of a job what came after.
-  void want(Micros now, const std::string& job, std::uint32_t rev);
-
-  std::vector<membership::Datagram> take();
-  std::vector<Event> events() { return std::exchange(events_, {}); }
-  std::vector<Word> words() { return std::exchange(words_, {}); }
-
-  const membership::Swim& peers() const { return swim_; }
-  const RaftNode* node() const { return node_.get(); }
-  const LeaseTable& table() const { return votes() ? node_->lease_state_machine().table() : table_; }
-  const FencingTokens& fence() const { return fence_; }
-  bool proved(Micros now, const std::string& job) const { return lease_holder_.proved(now, job); }
-  // Who owns it by the record; null: nobody, or a router that this one does not know.
-  const membership::Peer* owner(const std::string& job) const;
-  bool displaced() const { return displaced_; }
+  // After leave(): the voters know, or it has taken long enough.
+  bool has_left(Micros now) const;
+
+  // Writes an effect to all routers of a site (empty: of the fleet), or to one address, if this router's
+  // lease on the job is valid at this moment. False: nothing was written.
+  bool send_effect(Micros now, Effect effect, const std::string& site, const std::string& address = "");
+  void send_shared_state(const std::string& router, const std::string& address,
+                         const SharedStateMessage& message);
+  // For the owner of a job: proposes to draw from a stock. The lease table tells how much was granted.
+  void draw_from_stock(Micros now, const StockDraw& draw);
+  // Asks the owner of a job for what came after this revision of the list.
+  void request_list(const std::string& job, std::uint32_t revision);
+
+  // What came out since the last call.
+  std::vector<membership::Datagram> take_datagrams();
+  std::vector<Event> take_events() { return std::exchange(events_, {}); }
+  std::vector<JobNotification> take_notifications() { return std::exchange(notifications_, {}); }
+
+  const membership::Swim& membership() const { return swim_; }
+  // Null: this router is no voter.
+  const RaftNode* raft_node() const { return raft_node_.get(); }
+  const LeaseTable& lease_table() const {
+    return is_voting() ? raft_node_->lease_state_machine().table() : lease_table_;
+  }
+  bool has_valid_lease(Micros now, const std::string& job) const {
+    return lease_holder_.has_valid_lease(now, job);
+  }
+  // The owner of a job by the lease table; null: nobody, or a router that this one does not know.
+  const membership::Peer* find_owner(const std::string& job) const;
   Status status(Micros now) const;
-  // Beside what this class says of itself.
-  void on_status(std::function<void(Micros, Status&)> add) { add_status_ = std::move(add); }
-  void event(std::string name, std::vector<std::pair<std::string, std::string>> fields, bool warning = false);
+  // Called for each status that another process asks for, to add what belongs to other parts of the router.
+  void set_status_extension(std::function<void(Micros, Status&)> extend) {
+    extend_status_ = std::move(extend);
+  }
+  void log_event(std::string name, std::vector<std::pair<std::string, std::string>> fields,
+                 bool warning = false);
 
  private:
-  struct Asked {
-    Micros sent = 0;
-    bool renew = false;
-  };
-  bool free_of_jobs() const;  // by the record
-  bool votes() const { return node_ && !node_->is_halted(); }
-  void send(const std::string& at, const Packet& p);
-  void settle(Micros now);  // after each turn: leadership, grants, leases
-  void ask(Micros now, const Command& command);
-  void goes_in(Micros now, const Command& command);
-  void answer(Micros now, const std::string& to, const Request& request);
-  void answered(Micros now, const Reply& reply);
-  void take_record(Micros now, const Record& record);
-  Record record(std::uint64_t known) const;
-  void push(const std::string& router);
-  std::string voter_at(Micros now);
+  bool is_voting() const { return raft_node_ && !raft_node_->is_halted(); }
+  bool is_leader() const { return raft_node_ && raft_node_->is_leader(); }
+  bool owns_no_job() const;  // by the lease table
+
+  // The steps that follow from each datagram and tick, in this order.
+  void run_steps(Micros now);
+  void log_membership_changes();
+  void check_displacement();
+  void check_halt();
+  void follow_leadership(Micros now);
+  void propose_grants(Micros now);
+  void copy_voter_state(Micros now);
+  void follow_known_leader(Micros now);
+  void poll_lease_table(Micros now);
+  void renew_and_release(Micros now);
+  void notify_lease_changes(Micros now);
+  void transfer_leadership_on_leave(Micros now);
+
+  // Requests to voters, and their replies.
+  void send_command(Micros now, const Command& command);
+  std::string next_voter_address();
+  void on_reply(Micros now, const Reply& reply);
+  // Requests to this router as a voter.
+  void on_request(Micros now, const std::string& sender_address, const Request& request);
+  absl::Status check_request(const Request& request) const;
+  absl::Status check_move(const Move& move) const;
+  void count_proposed_renewal(Micros now, const Command& command);
+  void on_applied(const Command& command, const Applied& applied);
+
+  // Copies of the lease table between routers.
+  Record make_record(std::uint64_t known_revision) const;
+  void push_record(const std::string& router);
+  void on_record(Micros now, const Record& record);
+
+  // Datagrams.
+  bool is_for_us(const Packet& packet) const;
+  void send(const std::string& address, const Packet& packet);
+  void send_status(Micros now, const std::string& address);
+  void on_packet(Micros now, const std::string& sender_address, const Packet& packet);
+  void on_effect(const std::string& sender_address, const Packet& packet);
+  void on_shared_state(const std::string& sender_address, const Packet& packet);
+  void on_list_request(const std::string& sender_address, const ListRequest& request);
+  void notify(JobNotification notification);
+
+  void add_counters(Status& status) const;
 
   CoordinationSettings settings_;
   std::mt19937_64 random_;
   membership::Swim swim_;
-  std::unique_ptr<RaftNode> node_;
+  std::unique_ptr<RaftNode> raft_node_;
   LeaseManager lease_manager_;
   LeaseHolder lease_holder_;
-  FencingTokens fence_;
-  LeaseTable table_;  // by what voters said, where this router is none
+  FencingTokens fencing_tokens_;
+  PendingRequests pending_requests_;
+  LeaseTable lease_table_;  // a copy, of a router that does not vote
   std::vector<Voter> voters_;
-  std::string leader_at_;
-  Micros heard_voter_ = -1, leader_since_ = 0, next_read_ = 0, leaving_ = -1, now_ = 0;
-  std::size_t voter_turn_ = 0;
-  std::uint64_t numbers_ = 0, sequence_ = 0;
-  std::map<std::uint64_t, Asked> asked_;
-  std::vector<membership::Datagram> out_;
+  std::size_t next_voter_ = 0;  // whom to ask while no leader is known
+  std::string leader_address_;  // empty: none is known
+  bool has_known_leader_ = false;
+  Micros leader_known_at_ = 0;
+  Micros voter_answered_at_ = -1;  // -1: never
+  Micros next_poll_ = 0;
+  Micros leaving_since_ = -1;  // -1: this router does not leave
+  Micros now_ = 0;             // of the last call, for what the voter applies
+  std::uint64_t last_effect_sequence_ = 0;
+  std::vector<membership::Datagram> datagrams_;
   std::vector<Event> events_;
-  std::vector<Word> words_;
-  bool led_ = false, handing_ = false, displaced_ = false, halted_told_ = false, had_leader_ = false;
-  std::uint64_t effects_sent_ = 0, effects_taken_ = 0, effects_unproved_ = 0;
-  std::function<void(Micros, Status&)> add_status_;
+  std::vector<JobNotification> notifications_;
+  bool was_leader_ = false, is_transferring_leadership_ = false, is_displaced_ = false;
+  bool is_halt_logged_ = false;
+  std::uint64_t effects_sent_ = 0, effects_admitted_ = 0, effects_without_lease_ = 0;
+  std::function<void(Micros, Status&)> extend_status_;
 };
 
-// A part of the router that lives beside its agent, on the same thread and clock.
-class Companion {
+// A part of the router that shares the protocol's datagrams, thread and clock.
+class ProtocolExtension {
  public:
-  virtual ~Companion() = default;
-  virtual void receive(Micros now, CoordinationProtocol& agent,
-                       const CoordinationProtocol::Word& word) = 0;  // a share, or a job's turn
-  virtual void tick(Micros now, CoordinationProtocol& agent) = 0;
-  virtual Micros next() const = 0;
-  virtual void status(Micros now, const CoordinationProtocol& agent, Status& out) const = 0;
+  virtual ~ProtocolExtension() = default;
+  // Each notification, in order.
+  virtual void receive(Micros now, CoordinationProtocol& protocol, const JobNotification& notification) = 0;
+  virtual void tick(Micros now, CoordinationProtocol& protocol) = 0;
+  // When to call tick().
+  virtual Micros next_timer() const = 0;
+  // Adds its part to a status.
+  virtual void status(Micros now, const CoordinationProtocol& protocol, Status& out) const = 0;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/coordination_runtime.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -18,42 +18,47 @@
 
 namespace {
 
-constexpr std::size_t kLargest = 65536;
-constexpr int kMostATurn = 256;
-// While an earlier process of this router still has the address or the directory.
-constexpr std::chrono::milliseconds kOpenAgain{200};
+constexpr std::size_t kMaxDatagramBytes = 65536;
+// Datagrams that are read before what follows from them is sent.
+constexpr int kMaxDatagramsPerIteration = 256;
+// While an earlier process of this router still has the address.
+constexpr std::chrono::milliseconds kOpenRetryDelay{200};
+// How often has_left() is looked at.
+constexpr Micros kLeavePollPeriod = 50 * core::kMilli;
+// Of a timer that nobody set.
+constexpr Micros kIdlePeriod = core::kSecond;
 
-bool parse(const std::string& at, udp::endpoint& out) {
-  config::HostPort host;
-  error_code ec;
-  if (!config::parse_host_port(at, host)) return false;
-  const auto address = asio::ip::make_address(host.host, ec);
-  out = {address, static_cast<unsigned short>(host.port)};
-  return !ec;
+bool parse_endpoint(const std::string& text, udp::endpoint& out) {
+  config::HostPort parsed;
+  if (!config::parse_host_port(text, parsed)) return false;
+  error_code error;
+  const auto address = asio::ip::make_address(parsed.host, error);
+  out = {address, static_cast<unsigned short>(parsed.port)};
+  return !error;
 }
 
-void write(const Event& e) {
+void write_to_log(const Event& event) {
   std::vector<log::Field> fields;
-  for (const auto& [key, value] : e.fields) fields.emplace_back(key, value);
-  log::event(e.warning ? Level::warn : Level::info, e.name, fields);
+  for (const auto& [key, value] : event.fields) fields.emplace_back(key, value);
+  log::event(event.warning ? Level::warn : Level::info, event.name, fields);
 }
 
 }  // namespace
 
 Micros CoordinationRuntime::now() {
-  timespec t{};
-  ::clock_gettime(CLOCK_BOOTTIME, &t);
-  return static_cast<Micros>(t.tv_sec) * core::kSecond + t.tv_nsec / 1000;
+  timespec time{};
+  ::clock_gettime(CLOCK_BOOTTIME, &time);
+  return static_cast<Micros>(time.tv_sec) * core::kSecond + time.tv_nsec / 1000;
 }
 
-CoordinationRuntime::CoordinationRuntime(Settings settings, OnWord on_word)
+CoordinationRuntime::CoordinationRuntime(Settings settings, NotificationCallback on_notification)
     : settings_(std::move(settings)),
-      on_word_(std::move(on_word)),
+      on_notification_(std::move(on_notification)),
       work_(io_.get_executor()),
       socket_(io_),
       timer_(io_),
-      again_(io_),
-      buffer_(kLargest, '\0') {}
+      open_retry_timer_(io_),
+      buffer_(kMaxDatagramBytes, '\0') {}
 
 CoordinationRuntime::~CoordinationRuntime() {
   asio::post(io_, [this] { io_.stop(); });
@@ -61,7 +66,7 @@
 }
 
 void CoordinationRuntime::start() {
-  // What comes may be no message at all: it is counted, and needs no line of the library's own for each.
+  // Any bytes may come to the socket: what is no message is counted, and protobuf would log a line for each.
   google::protobuf::SetLogHandler(nullptr);
   thread_ = std::thread([this] {
     asio::post(io_, [this] { open(); });
@@ -69,164 +74,184 @@
   });
 }
 
-// The address first: who has it is the process of this name that takes part.
-bool CoordinationRuntime::open() {
-  error_code ec;
-  const auto address = asio::ip::make_address(settings_.listen.host, ec);
-  const udp::endpoint at(address, static_cast<unsigned short>(settings_.listen.port));
-  if (!ec) socket_.open(at.protocol(), ec);
-  if (!ec) socket_.non_blocking(true, ec);
-  if (!ec) socket_.bind(at, ec);
-  if (ec) {
-    if (!std::exchange(told_, true))
-      log::event(
-          Level::warn, "coordination_socket_unavailable",
-          {{"at", config::host_port(settings_.listen.host, settings_.listen.port)}, {"why", ec.message()}});
-    error_code ignored;
-    socket_.close(ignored);
-    again_.expires_after(kOpenAgain);
-    again_.async_wait([this](error_code stopped) {
-      if (!stopped && !left_) open();
-    });
-    return false;
-  }
+// The address before the directory: the process that has the address takes part under this router's name.
+void CoordinationRuntime::open() {
+  if (const error_code error = bind_socket()) return retry_open(error);
+  start_protocol();
+}
+
+error_code CoordinationRuntime::bind_socket() {
+  error_code error;
+  const auto address = asio::ip::make_address(settings_.listen.host, error);
+  const udp::endpoint endpoint(address, static_cast<unsigned short>(settings_.listen.port));
+  if (!error) socket_.open(endpoint.protocol(), error);
+  if (!error) socket_.non_blocking(true, error);
+  if (!error) socket_.bind(endpoint, error);
+  return error;
+}
+
+void CoordinationRuntime::retry_open(error_code error) {
+  if (!std::exchange(is_open_failure_logged_, true))
+    log::event(
+        Level::warn, "coordination_socket_unavailable",
+        {{"at", config::host_port(settings_.listen.host, settings_.listen.port)}, {"why", error.message()}});
+  error_code ignored;  // the socket is opened anew in any case
+  socket_.close(ignored);
+  open_retry_timer_.expires_after(kOpenRetryDelay);
+  open_retry_timer_.async_wait([this](error_code stopped) {
+    if (!stopped && !on_left_) open();
+  });
+}
+
+void CoordinationRuntime::start_protocol() {
   const unsigned short port = socket_.local_endpoint().port();
-  if (settings_.agent.self.at.empty())
-    settings_.agent.self.at = config::host_port(settings_.listen.host, port);
-  agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
+  membership::Self& self = settings_.protocol.self;
+  if (self.at.empty()) self.at = config::host_port(settings_.listen.host, port);
+  protocol_ = std::make_unique<CoordinationProtocol>(settings_.protocol, settings_.seed);
   if (settings_.voter_id != 0) {
     const absl::Status status = start_voting();
-    if (status.ok()) {
-      log::event(Level::info, "raft_node_started",
-                 {{"id", settings_.voter_id}, {"directory", settings_.directory}});
-    } else {
-      log::event(Level::warn, "raft_node_start_failed",
-                 {{"id", settings_.voter_id}, {"why", std::string(status.message())}});
-      // Nothing of it takes part: the router follows the other voters.
-      agent_ = std::make_unique<CoordinationProtocol>(settings_.agent, settings_.seed);
+    if (!status.ok()) {
+      // Nothing of the voter takes part: this router follows the other voters.
+      protocol_ = std::make_unique<CoordinationProtocol>(settings_.protocol, settings_.seed);
       storage_.reset();
     }
+    log_start_of_voting(status);
   }
-  log::event(Level::info, "listening",
-             {{"name", settings_.agent.self.name},
-              {"wire", "fleet"},
-              {"at", config::host_port(settings_.listen.host, port)}});
-  if (settings_.companion != nullptr)
-    agent_->on_status([this](Micros t, Status& s) { settings_.companion->status(t, *agent_, s); });
-  agent_->start(now());
-  wait();
+  log::event(
+      Level::info, "listening",
+      {{"name", self.name}, {"wire", "fleet"}, {"at", config::host_port(settings_.listen.host, port)}});
+  if (settings_.extension != nullptr)
+    protocol_->set_status_extension(
+        [this](Micros time, Status& status) { settings_.extension->status(time, *protocol_, status); });
+  protocol_->start(now());
+  wait_for_datagrams();
   run_iteration();
-  return true;
 }
 
 absl::Status CoordinationRuntime::start_voting() {
+  const std::string& directory = settings_.directory;
   storage_ = std::make_unique<FileRaftStorage>();
-  absl::StatusOr<PersistentState> state = storage_->open(settings_.directory);
+  absl::StatusOr<PersistentState> state = storage_->open(directory);
   if (!state.ok()) return state.status();
   const Head& head = state->head;
   if (head.fleet().empty())
-    return absl::NotFoundError(settings_.directory + " holds no record: 'flintglade fleet init'");
-  if (head.fleet() != settings_.agent.peers.fleet)
-    return absl::FailedPreconditionError(settings_.directory + " is of the fleet " + head.fleet());
+    return absl::NotFoundError(directory + " holds no record: 'flintglade fleet init'");
+  if (head.fleet() != settings_.protocol.membership.fleet)
+    return absl::FailedPreconditionError(directory + " is of the fleet " + head.fleet());
   if (head.id() != settings_.voter_id)
-    return absl::FailedPreconditionError(settings_.directory + " is of the voter " +
-                                         std::to_string(head.id()));
-  return agent_->vote(*std::move(state), *storage_);
+    return absl::FailedPreconditionError(directory + " is of the voter " + std::to_string(head.id()));
+  return protocol_->start_voting(*std::move(state), *storage_);
+}
+
+void CoordinationRuntime::log_start_of_voting(const absl::Status& status) {
+  if (status.ok()) {
+    log::event(Level::info, "raft_node_started",
+               {{"id", settings_.voter_id}, {"directory", settings_.directory}});
+  } else {
+    log::event(Level::warn, "raft_node_start_failed",
+               {{"id", settings_.voter_id}, {"why", std::string(status.message())}});
+  }
 }
 
-void CoordinationRuntime::wait() {
-  socket_.async_wait(udp::socket::wait_read, [this](error_code ec) {
-    if (ec) return;
-    read();
-    wait();
+void CoordinationRuntime::wait_for_datagrams() {
+  socket_.async_wait(udp::socket::wait_read, [this](error_code error) {
+    if (error) return;
+    read_datagrams();
+    wait_for_datagrams();
   });
 }
 
-void CoordinationRuntime::read() {
-  for (int i = 0; i < kMostATurn; ++i) {
-    udp::endpoint from;
-    error_code ec;
-    const std::size_t n = socket_.receive_from(asio::buffer(buffer_), from, 0, ec);
-    // A refusal that came back for something sent before is no end of this.
-    if (ec == asio::error::connection_refused) continue;
-    if (ec) break;
-    agent_->receive(now(), config::host_port(from.address().to_string(), from.port()),
-                    std::string_view(buffer_).substr(0, n));
+void CoordinationRuntime::read_datagrams() {
+  for (int i = 0; i < kMaxDatagramsPerIteration; ++i) {
+    udp::endpoint sender;
+    error_code error;
+    const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender, 0, error);
+    // An ICMP error for a datagram that was sent before: there may be more to read.
+    if (error == asio::error::connection_refused) continue;
+    if (error) break;
+    protocol_->receive(now(), config::host_port(sender.address().to_string(), sender.port()),
+                       std::string_view(buffer_).substr(0, size));
   }
   run_iteration();
 }
 
 void CoordinationRuntime::run_iteration() {
-  if (!agent_) return;
-  for (const Event& e : agent_->events()) write(e);
-  // What the companion does can bring words of its own: what it is told of a job's turn, once more.
-  for (int i = 0; i < 2; ++i) {
-    for (const CoordinationProtocol::Word& w : agent_->words()) {
-      if (settings_.companion != nullptr) settings_.companion->receive(now(), *agent_, w);
-      if (w.what != CoordinationProtocol::Word::What::share) on_word_(w);
-    }
-    if (settings_.companion != nullptr && now() >= settings_.companion->next())
-      settings_.companion->tick(now(), *agent_);
-  }
-  for (const membership::Datagram& d : agent_->take()) {
-    udp::endpoint to;
-    error_code ignored;
-    if (parse(d.to, to)) socket_.send_to(asio::buffer(d.bytes), to, 0, ignored);
-  }
-  if (left_ && agent_->left(now())) {
-    const auto done = std::exchange(left_, nullptr);
+  if (!protocol_) return;
+  for (const Event& event : protocol_->take_events()) write_to_log(event);
+  deliver_notifications();
+  send_datagrams();
+  if (on_left_ && protocol_->has_left(now())) {
+    const auto done = std::exchange(on_left_, nullptr);
     timer_.cancel();
     return done();
   }
-  arm();
-}
-
-void CoordinationRuntime::arm() {
-  Micros at = agent_->next();
-  if (settings_.companion != nullptr) at = std::min(at, settings_.companion->next());
-  const Micros t = now();
-  if (left_) at = std::min(at, t + 50 * core::kMilli);
-  if (at == core::kNever) at = t + core::kSecond;
-  timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, at - t)));
-  timer_.async_wait([this](error_code ec) {
-    if (ec) return;
-    agent_->tick(now());
+  arm_timer();
+}
+
+void CoordinationRuntime::deliver_notifications() {
+  ProtocolExtension* extension = settings_.extension;
+  // Twice: what the extension does with the first ones can bring further ones.
+  for (int round = 0; round < 2; ++round) {
+    for (const JobNotification& notification : protocol_->take_notifications()) {
+      if (extension != nullptr) extension->receive(now(), *protocol_, notification);
+      if (notification.kind != JobNotification::Kind::shared_state) on_notification_(notification);
+    }
+    if (extension != nullptr && now() >= extension->next_timer()) extension->tick(now(), *protocol_);
+  }
+}
+
+void CoordinationRuntime::send_datagrams() {
+  for (const membership::Datagram& datagram : protocol_->take_datagrams()) {
+    udp::endpoint receiver;
+    error_code ignored;  // a datagram that cannot be sent is one that was lost
+    if (parse_endpoint(datagram.to, receiver))
+      socket_.send_to(asio::buffer(datagram.bytes), receiver, 0, ignored);
+  }
+}
+
+void CoordinationRuntime::arm_timer() {
+  Micros next = protocol_->next_timer();
+  if (settings_.extension != nullptr) next = std::min(next, settings_.extension->next_timer());
+  const Micros time = now();
+  if (on_left_) next = std::min(next, time + kLeavePollPeriod);
+  if (next == core::kNever) next = time + kIdlePeriod;
+  timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - time)));
+  timer_.async_wait([this](error_code error) {
+    if (error) return;
+    protocol_->tick(now());
     run_iteration();
   });
 }
 
 void CoordinationRuntime::leave(std::function<void()> done) {
   asio::post(io_, [this, done = std::move(done)] {
-    if (!agent_) {
-      left_ = [] {};
+    if (!protocol_) {
+      on_left_ = [] {};  // ends the attempts to open the socket
       return done();
     }
-    agent_->leave(now());
-    left_ = done;
+    protocol_->leave(now());
+    on_left_ = done;
     run_iteration();
   });
 }
 
-void CoordinationRuntime::effect(Effect effect, std::string site, std::string to) {
-  asio::post(io_, [this, effect = std::move(effect), site = std::move(site), to = std::move(to)] {
-    if (!agent_) return;
-    agent_->effect(now(), effect, site, to);
-    run_iteration();
+void CoordinationRuntime::send_effect(Effect effect, std::string site, std::string address) {
+  with_protocol([effect = std::move(effect), site = std::move(site), address = std::move(address)](
+                    Micros time, CoordinationProtocol& protocol) {
+    protocol.send_effect(time, effect, site, address);
   });
 }
 
-void CoordinationRuntime::with_protocol(std::function<void(Micros, CoordinationProtocol&)> what) {
-  asio::post(io_, [this, what = std::move(what)] {
-    if (!agent_) return;
-    what(now(), *agent_);
-    run_iteration();
+void CoordinationRuntime::request_list(std::string job, std::uint32_t revision) {
+  with_protocol([job = std::move(job), revision](Micros, CoordinationProtocol& protocol) {
+    protocol.request_list(job, revision);
   });
 }
 
-void CoordinationRuntime::want(std::string job, std::uint32_t rev) {
-  asio::post(io_, [this, job = std::move(job), rev] {
-    if (!agent_) return;
-    agent_->want(now(), job, rev);
+void CoordinationRuntime::with_protocol(std::function<void(Micros, CoordinationProtocol&)> action) {
+  asio::post(io_, [this, action = std::move(action)] {
+    if (!protocol_) return;
+    action(now(), *protocol_);
     run_iteration();
   });
 }
--- a/src/coordination/coordination_runtime.h
+++ b/src/coordination/coordination_runtime.h
@@ -1,67 +1,81 @@
-// Runs an Agent: a thread of its own with one UDP socket, a timer and, for a voter, its disk, since votes
-// have to be on stable storage before they are given. The serving loop is never waited for, and never waits.
+// Runs a CoordinationProtocol: a thread of its own with one UDP socket, a timer and, for a voter, its
+// storage, since a vote has to be on stable storage before it is given.
+//
+// The thread that serves requests never waits for this one. Public functions may be called from any thread;
+// callbacks run on this one's thread.
 #pragma once
 
-#include <atomic>
 #include <boost/asio.hpp>
 #include <functional>
 #include <memory>
 #include <string>
 #include <thread>
 
+#include "absl/status/status.h"
 #include "config/config.h"
 #include "coordination/coordination_protocol.h"
+#include "coordination/raft_storage.h"
 
 namespace flintglade::coordination {
 
 class CoordinationRuntime {
  public:
-  // Its clock, which runs while the machine sleeps, too: a lease ends on all clocks.
+  // The clock of all of coordination, in microseconds. It also runs while the machine sleeps: a lease ends on
+  // all clocks.
   static Micros now();
+
   struct Settings {
-    CoordinationSettings agent;
+    CoordinationSettings protocol;
     config::HostPort listen;
-    std::uint64_t voter_id = 0;  // 0: no voter
+    std::uint64_t voter_id = 0;  // 0: this router does not vote
     std::string directory;       // of a voter
     std::uint64_t seed = 0;
-    Companion* companion = nullptr;  // borrowed; on the member's thread alone
+    ProtocolExtension* extension = nullptr;  // borrowed; used on this object's thread alone
   };
-  using OnWord = std::function<void(const CoordinationProtocol::Word&)>;  // on the member's thread
+  using NotificationCallback = std::function<void(const JobNotification&)>;
 
-  CoordinationRuntime(Settings settings, OnWord on_word);
-  ~CoordinationRuntime();  // without a good-bye, unless leave() came first
+  CoordinationRuntime(Settings settings, NotificationCallback on_notification);
+  // Ends the thread. The other routers are told only if leave() came first.
+  ~CoordinationRuntime();
   CoordinationRuntime(const CoordinationRuntime&) = delete;
   CoordinationRuntime& operator=(const CoordinationRuntime&) = delete;
 
   void start();
-  // Gives up the jobs and says good-bye, in half a second at the most; then done is called on the member's
-  // thread.
+  // Releases this router's leases and tells the other routers, in half a second at the most; then calls
+  // `done`.
   void leave(std::function<void()> done);
-  // From any thread. Nothing is written without a proved lease.
-  void effect(Effect effect, std::string site, std::string to = "");
-  void want(std::string job, std::uint32_t rev);
-  // On the member's thread; dropped while the agent is not there yet.
-  void with_protocol(std::function<void(Micros, CoordinationProtocol&)> what);
+  // As CoordinationProtocol's functions of these names; dropped while the socket is not open yet.
+  void send_effect(Effect effect, std::string site, std::string address = "");
+  void request_list(std::string job, std::uint32_t revision);
+  // Calls `action` on this object's thread; dropped while the socket is not open yet.
+  void with_protocol(std::function<void(Micros, CoordinationProtocol&)> action);
 
  private:
-  bool open();
-  void wait();
-  void read();
-  void run_iteration();
-  void arm();
+  void open();
+  boost::system::error_code bind_socket();
+  void retry_open(boost::system::error_code error);
+  void start_protocol();
   absl::Status start_voting();
+  void log_start_of_voting(const absl::Status& status);
+
+  void wait_for_datagrams();
+  void read_datagrams();
+  void run_iteration();
+  void deliver_notifications();
+  void send_datagrams();
+  void arm_timer();
 
   Settings settings_;
-  OnWord on_word_;
+  NotificationCallback on_notification_;
   boost::asio::io_context io_{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
   boost::asio::ip::udp::socket socket_;
-  boost::asio::steady_timer timer_, again_;
+  boost::asio::steady_timer timer_, open_retry_timer_;
   std::string buffer_;
   std::unique_ptr<FileRaftStorage> storage_;
-  std::unique_ptr<CoordinationProtocol> agent_;
-  std::function<void()> left_;
-  bool told_ = false;
+  std::unique_ptr<CoordinationProtocol> protocol_;  // null until the socket is open
+  std::function<void()> on_left_;                   // set by leave()
+  bool is_open_failure_logged_ = false;
   std::thread thread_;
 };
 
--- a/src/coordination/fencing_token.h
+++ b/src/coordination/fencing_token.h
@@ -1,5 +1,7 @@
-// The receiver's side of jobs: the highest number that it has seen of each. An effect of a lower one comes
-// from an owner that does not know yet that it is none any more. Pure.
+// Fencing tokens on the receiver's side: the highest token that this router has seen of each job.
+//
+// An effect with a lower token comes from a former owner that does not know yet that its lease has passed to
+// another router. Pure; one thread. Source: Kleppmann, 'How to do distributed locking' (2016).
 #pragma once
 
 #include <cstdint>
@@ -10,30 +12,36 @@
 
 class FencingTokens {
  public:
-  static constexpr std::size_t kMost = 1024;  // jobs; the record has far fewer
-  bool admit(const std::string& job, std::uint64_t number) {
-    const auto it = seen_.find(job);
-    if (it == seen_.end()) {
-      if (seen_.size() >= kMost) return false;
-      seen_[job] = number;
+  // Jobs that are remembered; the lease table has far fewer (kMaxJobs).
+  static constexpr std::size_t kMaxJobs = 1024;
+
+  // Whether an effect with this token may be applied. Remembers the token if so.
+  bool admit(const std::string& job, std::uint64_t token) {
+    const auto it = highest_.find(job);
+    if (it == highest_.end()) {
+      if (highest_.size() >= kMaxJobs) return false;
+      highest_[job] = token;
       return true;
     }
-    if (number < it->second) {
-      ++refused_;
+    if (token < it->second) {
+      ++rejected_;
       return false;
     }
-    it->second = number;
+    it->second = token;
     return true;
   }
-  std::uint64_t seen(const std::string& job) const {
-    const auto it = seen_.find(job);
-    return it == seen_.end() ? 0 : it->second;
+
+  // The highest token that was admitted; 0: none yet.
+  std::uint64_t highest(const std::string& job) const {
+    const auto it = highest_.find(job);
+    return it == highest_.end() ? 0 : it->second;
   }
-  std::uint64_t refused() const { return refused_; }
+  // How many effects were refused for a lower token.
+  std::uint64_t rejected() const { return rejected_; }
 
  private:
-  std::map<std::string, std::uint64_t> seen_;
-  std::uint64_t refused_ = 0;
+  std::map<std::string, std::uint64_t> highest_;
+  std::uint64_t rejected_ = 0;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/lease_holder.cpp
+++ b/src/coordination/lease_holder.cpp
@@ -5,110 +5,117 @@
 
 namespace flintglade::coordination {
 namespace {
-constexpr Micros kReleaseAgain = 100 * core::kMilli;
-}
 
-void LeaseHolder::record(const LeaseTable& table, std::uint64_t birth) {
+// A release is repeated until the lease table says that the job is no longer this router's.
+constexpr Micros kReleaseRetryDelay = 100 * core::kMilli;
+constexpr int kRenewalsPerLease = 4;
+
+}  // namespace
+
+void LeaseHolder::on_lease_table(const LeaseTable& table, std::uint64_t birth) {
   birth_ = birth;
-  std::map<std::string, Mine> now;
-  for (const Job& j : table.jobs()) {
-    if (j.owner() != name_ || j.birth() != birth) continue;
-    const auto it = mine_.find(j.name());
-    const bool same = it != mine_.end() && it->second.number == j.number();
-    Mine mine = same ? it->second : Mine{};
-    if (!same) next_renewal_ = 0;  // proved as soon as can be
-    mine.number = j.number();
-    mine.unwanted = !j.wanted().empty() && j.wanted() != name_;
-    now[j.name()] = mine;
+  std::map<std::string, OwnedJob> owned;
+  for (const Job& job : table.jobs()) {
+    if (job.owner() != name_ || job.birth() != birth) continue;
+    const auto it = owned_.find(job.name());
+    const bool same_lease = it != owned_.end() && it->second.number == job.number();
+    OwnedJob entry = same_lease ? it->second : OwnedJob{};
+    if (!same_lease) next_renewal_ = 0;  // a new lease is valid from its first renewal on: at once
+    entry.number = job.number();
+    entry.is_wanted_elsewhere = !job.wanted().empty() && job.wanted() != name_;
+    owned[job.name()] = entry;
   }
-  for (const auto& [job, mine] : mine_) {
-    const auto it = now.find(job);
-    if (mine.runs && (it == now.end() || it->second.number != mine.number))
-      stopped_.push_back({job, mine.number, false, "the record says so"});
+  for (const auto& [job, entry] : owned_) {
+    const auto it = owned.find(job);
+    if (entry.is_running && (it == owned.end() || it->second.number != entry.number))
+      ended_.push_back({job, entry.number, false, "the record says so"});
   }
-  mine_ = std::move(now);
+  owned_ = std::move(owned);
 }
 
-std::optional<Renew> LeaseHolder::renewal(Micros now) {
-  if (now < next_renewal_ || mine_.empty()) return std::nullopt;
+std::optional<Renew> LeaseHolder::take_renewal(Micros now) {
+  if (now < next_renewal_ || owned_.empty()) return std::nullopt;
   Renew out;
   out.set_owner(name_);
   out.set_birth(birth_);
-  for (const auto& [job, mine] : mine_) {
-    // Once a release has gone out it may arrive at any time: this number is never proved again.
-    if (mine.unwanted || leaving_ || mine.released >= 0) continue;
-    HeldLease* h = out.add_held();
-    h->set_job(job);
-    h->set_number(mine.number);
+  for (const auto& [job, entry] : owned_) {
+    // A release that was sent may arrive at any time, so this number is never renewed again.
+    if (entry.is_wanted_elsewhere || is_releasing_all_ || entry.release_sent_at >= 0) continue;
+    HeldLease* held = out.add_held();
+    held->set_job(job);
+    held->set_number(entry.number);
   }
-  next_renewal_ = now + times_.lease / 4;
+  next_renewal_ = now + times_.duration / kRenewalsPerLease;
   if (out.held().empty()) return std::nullopt;
   return out;
 }
 
-void LeaseHolder::renewed(Micros sent, const std::vector<HeldLease>& held) {
-  for (const HeldLease& h : held) {
-    const auto it = mine_.find(h.job());
-    if (it == mine_.end() || it->second.number != h.number() || it->second.released >= 0) continue;
-    it->second.until = std::max(it->second.until, sent + times_.lease - times_.margin());
+void LeaseHolder::on_renewed(Micros sent_at, const std::vector<HeldLease>& held) {
+  for (const HeldLease& lease : held) {
+    const auto it = owned_.find(lease.job());
+    if (it == owned_.end() || it->second.number != lease.number() || it->second.release_sent_at >= 0)
+      continue;
+    it->second.valid_until =
+        std::max(it->second.valid_until, sent_at + times_.duration - times_.clock_margin());
   }
 }
 
-std::vector<Release> LeaseHolder::releases(Micros now) {
+std::vector<Release> LeaseHolder::take_releases(Micros now) {
   std::vector<Release> out;
-  for (auto& [job, mine] : mine_) {
-    if ((!mine.unwanted && !leaving_ && mine.released < 0) ||
-        (mine.released >= 0 && now < mine.released + kReleaseAgain))
-      continue;
-    if (mine.runs) {
-      mine.runs = false;
-      stopped_.push_back({job, mine.number, false, leaving_ ? "this router leaves" : "wanted elsewhere"});
+  for (auto& [job, entry] : owned_) {
+    const bool was_sent = entry.release_sent_at >= 0;
+    if (!was_sent && !entry.is_wanted_elsewhere && !is_releasing_all_) continue;
+    if (was_sent && now < entry.release_sent_at + kReleaseRetryDelay) continue;
+    if (entry.is_running) {
+      entry.is_running = false;
+      ended_.push_back(
+          {job, entry.number, false, is_releasing_all_ ? "this router leaves" : "wanted elsewhere"});
     }
-    mine.until = 0;  // first here, then at the voters
-    mine.released = now;
-    Release r;
-    r.set_job(job);
-    r.set_number(mine.number);
-    out.push_back(r);
+    entry.valid_until = 0;  // the lease ends here before the voters can grant it to another router
+    entry.release_sent_at = now;
+    Release release;
+    release.set_job(job);
+    release.set_number(entry.number);
+    out.push_back(release);
   }
   return out;
 }
 
-bool LeaseHolder::proved(Micros now, const std::string& job) const {
-  const auto it = mine_.find(job);
-  return it != mine_.end() && now < it->second.until;
+bool LeaseHolder::has_valid_lease(Micros now, const std::string& job) const {
+  const auto it = owned_.find(job);
+  return it != owned_.end() && now < it->second.valid_until;
 }
 
-std::vector<HeldLease> LeaseHolder::held(Micros now) const {
+std::vector<HeldLease> LeaseHolder::valid_leases(Micros now) const {
   std::vector<HeldLease> out;
-  for (const auto& [job, mine] : mine_) {
-    if (now >= mine.until) continue;
+  for (const auto& [job, entry] : owned_) {
+    if (now >= entry.valid_until) continue;
     out.emplace_back();
     out.back().set_job(job);
-    out.back().set_number(mine.number);
+    out.back().set_number(entry.number);
   }
   return out;
 }
 
-std::vector<LeaseHolder::Change> LeaseHolder::changes(Micros now) {
-  std::vector<Change> out = std::exchange(stopped_, {});
-  for (auto& [job, mine] : mine_) {
-    const bool may = now < mine.until;
-    if (may == mine.runs) continue;
-    mine.runs = may;
-    out.push_back({job, mine.number, may, may ? "" : "the lease is not renewed"});
+std::vector<LeaseHolder::Change> LeaseHolder::take_changes(Micros now) {
+  std::vector<Change> out = std::exchange(ended_, {});
+  for (auto& [job, entry] : owned_) {
+    const bool is_valid = now < entry.valid_until;
+    if (is_valid == entry.is_running) continue;
+    entry.is_running = is_valid;
+    out.push_back({job, entry.number, is_valid, is_valid ? "" : "the lease is not renewed"});
   }
   return out;
 }
 
-Micros LeaseHolder::next() const {
-  Micros at = core::kNever;
-  for (const auto& [job, mine] : mine_) {
-    at = std::min(at, next_renewal_);
-    if (mine.runs) at = std::min(at, mine.until);
-    if (mine.released >= 0) at = std::min(at, mine.released + kReleaseAgain);
+Micros LeaseHolder::next_timer() const {
+  Micros next = core::kNever;
+  for (const auto& [job, entry] : owned_) {
+    next = std::min(next, next_renewal_);
+    if (entry.is_running) next = std::min(next, entry.valid_until);
+    if (entry.release_sent_at >= 0) next = std::min(next, entry.release_sent_at + kReleaseRetryDelay);
   }
-  return at;
+  return next;
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/lease_holder.h
+++ b/src/coordination/lease_holder.h
@@ -1,10 +1,13 @@
-// The owner's side of its jobs: what it holds, until when that is proved, when to renew. Pure; times are of a
-// clock that also runs while the machine sleeps.
+// The owner's side of leases: which jobs this router owns, until when each lease is valid, when to renew.
+//
+// Pure; one thread. Times are of a clock that also runs while the machine sleeps. Source: leases (Gray and
+// Cheriton, 1989).
 #pragma once
 
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "coordination/lease_manager.h"
@@ -13,46 +16,52 @@
 
 class LeaseHolder {
  public:
+  // A job that this router may do from now on, or may no more.
   struct Change {
     std::string job;
-    std::uint64_t number = 0;
-    bool starts = false;  // else it stops
-    std::string why;
+    std::uint64_t number = 0;  // the lease's fencing token
+    bool acquired = false;     // else it ends
+    std::string reason;        // why it ends
   };
 
   LeaseHolder(LeaseTimes times, std::string name) : times_(times), name_(std::move(name)) {}
 
-  // What the record says now. Jobs that are another's, or of an earlier life of this router, are given up.
-  void record(const LeaseTable& table, std::uint64_t birth);
-  // To be sent now, or nothing. A renewal that is not answered is sent again, and counts from its own
+  // The lease table as it stands now. Jobs that belong to another router, or to an earlier process of this
+  // one, end.
+  void on_lease_table(const LeaseTable& table, std::uint64_t birth);
+  // The renewal to send now, if one is due. One that is not answered is sent again, and counts from its own
   // sending.
-  std::optional<Renew> renewal(Micros now);
-  // The renewal that was sent at that moment is committed, and these are still this router's.
-  void renewed(Micros sent, const std::vector<HeldLease>& held);
-  // Releases to be sent now: of jobs that an operator wants elsewhere, or all at the end.
-  std::vector<Release> releases(Micros now);
-  void give_up_all() { leaving_ = true; }
-
-  // Whether an effect may be written at this very moment: the lease is proved, less the margin.
-  bool proved(Micros now, const std::string& job) const;
-  std::vector<HeldLease> held(Micros now) const;  // all that are proved
-  std::vector<Change> changes(Micros now);  // jobs that start or stop; call it at next() and after each word
-  Micros next() const;
+  std::optional<Renew> take_renewal(Micros now);
+  // The renewal that was sent at `sent_at` is committed, and these leases are still this router's.
+  void on_renewed(Micros sent_at, const std::vector<HeldLease>& held);
+  // Releases to send now: of jobs that an operator wants elsewhere, or of all after release_all().
+  std::vector<Release> take_releases(Micros now);
+  // This router shuts down.
+  void release_all() { is_releasing_all_ = true; }
+
+  // Whether an effect of this job may be written at this very moment.
+  bool has_valid_lease(Micros now, const std::string& job) const;
+  std::vector<HeldLease> valid_leases(Micros now) const;
+  // What began or ended since the last call. To be called at next_timer() and after each of the calls above.
+  std::vector<Change> take_changes(Micros now);
+  Micros next_timer() const;
 
  private:
-  struct Mine {
+  struct OwnedJob {
     std::uint64_t number = 0;
-    Micros until = 0;  // proved, of the last committed renewal; the margin is off already
-    bool runs = false, unwanted = false;
-    Micros released = -1;  // when the release was sent last
+    Micros valid_until = 0;   // by the last committed renewal, less the margin for clocks
+    bool is_running = false;  // the last Change said that it was acquired
+    bool is_wanted_elsewhere = false;
+    Micros release_sent_at = -1;  // the last time; -1: never
   };
+
   LeaseTimes times_;
   std::string name_;
   std::uint64_t birth_ = 0;
-  std::map<std::string, Mine> mine_;
-  std::vector<Change> stopped_;
+  std::map<std::string, OwnedJob> owned_;
+  std::vector<Change> ended_;  // for take_changes()
   Micros next_renewal_ = 0;
-  bool leaving_ = false;
+  bool is_releasing_all_ = false;
 };
 
 }  // namespace flintglade::coordination
--- a/src/coordination/lease_manager.cpp
+++ b/src/coordination/lease_manager.cpp
@@ -1,104 +1,140 @@
 #include "coordination/lease_manager.h"
 
 #include <algorithm>
+#include <string_view>
 
 #include "policy/statistics.h"
 
 namespace flintglade::coordination {
 namespace {
-// A grant that has not been committed by then is asked for anew.
-constexpr Micros kGrantAgain = 500 * core::kMilli;
-constexpr Micros kLook = 200 * core::kMilli;       // at who is living
-constexpr Micros kUnclaimed = 500 * core::kMilli;  // a grant that nobody proves
-constexpr Micros kSilent = 10 * core::kSecond;     // a router that did so comes last meanwhile
-
-std::uint64_t hash(std::string_view text) {
-  std::uint64_t h = 1469598103934665603ull;  // FNV-1a, then mixed: names differ in their last letters only
-  for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ull;
-  return policy::mix(h);
+
+// A grant that has not been committed by then is proposed again.
+constexpr Micros kGrantRetryDelay = 500 * core::kMilli;
+// How often the leader compares the jobs' owners with the living routers.
+constexpr Micros kDecisionPeriod = 200 * core::kMilli;
+// How long a grant may stay without a first renewal.
+constexpr Micros kUnclaimedGrantTimeout = 500 * core::kMilli;
+// For how long a router that was unresponsive gets a job only if there is no other.
+constexpr Micros kUnresponsivePenalty = 10 * core::kSecond;
+
+// FNV-1a, then mixed: names differ in their last letters only.
+std::uint64_t rank_hash(std::string_view text) {
+  std::uint64_t hash = 1469598103934665603ull;
+  for (const char letter : text) hash = (hash ^ static_cast<unsigned char>(letter)) * 1099511628211ull;
+  return policy::mix(hash);
+}
+
+const membership::Peer* find_alive(const std::vector<membership::Peer>& living, const std::string& name) {
+  const membership::Peer* found = nullptr;
+  for (const membership::Peer& peer : living) {
+    if (peer.name == name && peer.standing == coordination::ALIVE) found = &peer;
+  }
+  return found;
+}
+
+Command make_grant(const JobSettings& settings, const Job* job, const membership::Peer& owner) {
+  Command command;
+  Grant& grant = *command.mutable_grant();
+  grant.set_job(settings.name);
+  grant.set_owner(owner.name);
+  grant.set_birth(owner.birth);
+  grant.set_seen(job == nullptr ? 0 : job->number());
+  return command;
 }
+
+bool has_owner(const Job* job) { return job != nullptr && !job->owner().empty(); }
+
 }  // namespace
 
-const membership::Peer* LeaseManager::choose(const Wanted& job, const std::vector<membership::Peer>& living,
-                                             const std::set<std::string>& but_not) {
+const membership::Peer* LeaseManager::choose_owner(const JobSettings& job,
+                                                   const std::vector<membership::Peer>& living,
+                                                   const std::set<std::string>& excluded) {
   const membership::Peer* best = nullptr;
   std::uint64_t best_rank = 0;
-  for (const membership::Peer& p : living) {
-    if (p.standing != coordination::ALIVE || (!job.site.empty() && p.site != job.site) ||
-        but_not.count(p.name) > 0)
+  for (const membership::Peer& peer : living) {
+    if (peer.standing != coordination::ALIVE || (!job.site.empty() && peer.site != job.site) ||
+        excluded.count(peer.name) > 0)
       continue;
-    const std::uint64_t rank = hash(job.name + "\n" + p.name);
+    const std::uint64_t rank = rank_hash(job.name + "\n" + peer.name);
     if (best == nullptr || rank > best_rank) {
-      best = &p;
+      best = &peer;
       best_rank = rank;
     }
   }
   return best;
 }
 
-void LeaseManager::leads(Micros now) {
-  leading_ = true;
-  since_ = now;
-  over_.clear();
-  asked_.clear();
-  silent_.clear();
+void LeaseManager::on_leadership_acquired(Micros now) {
+  is_leader_ = true;
+  leader_since_ = now;
+  lease_ends_.clear();
+  grant_proposed_at_.clear();
+  unresponsive_since_.clear();
+}
+
+void LeaseManager::on_renewed(Micros now, const std::string& owner, const HeldLease& held) {
+  lease_ends_[held.job()] = now + times_.duration + times_.clock_margin();
+  unresponsive_since_.erase(owner);
+}
+
+void LeaseManager::on_granted(Micros now, const std::string& job) {
+  lease_ends_[job] = now + kUnclaimedGrantTimeout;
+  grant_proposed_at_.erase(job);
+}
+
+Micros LeaseManager::lease_end(const std::string& job) const {
+  const auto known = lease_ends_.find(job);
+  return std::max(leader_since_ + times_.duration + times_.clock_margin(),
+                  known == lease_ends_.end() ? 0 : known->second);
 }
 
-void LeaseManager::renewed(Micros now, const std::string& owner, const HeldLease& held) {
-  over_[held.job()] = now + times_.lease + times_.margin();
-  silent_.erase(owner);
+bool LeaseManager::may_grant(Micros now, const JobSettings& settings, const Job* job) {
+  if (job == nullptr && now < leader_since_ + times_.first_grant_delay) {
+    next_timer_ = std::min(next_timer_, leader_since_ + times_.first_grant_delay);
+    return false;
+  }
+  // After a release nothing has to run out: its owner acts no more. Nor for a job that never had an owner.
+  if (const Micros end = lease_end(settings.name); has_owner(job) && now < end) {
+    next_timer_ = std::min(next_timer_, end);
+    return false;
+  }
+  const auto proposed = grant_proposed_at_.find(settings.name);
+  return proposed == grant_proposed_at_.end() || now >= proposed->second + kGrantRetryDelay;
+}
+
+std::set<std::string> LeaseManager::unresponsive_routers(Micros now) const {
+  std::set<std::string> out;
+  for (const auto& [router, since] : unresponsive_since_) {
+    if (now < since + kUnresponsivePenalty) out.insert(router);
+  }
+  return out;
 }
-void LeaseManager::granted(Micros now, const std::string& job) {
-  over_[job] = now + kUnclaimed;
-  asked_.erase(job);
+
+// The router that the operator named, if it is alive and not the owner that was unresponsive; else by rank.
+const membership::Peer* LeaseManager::next_owner(Micros now, const JobSettings& settings, const Job* job,
+                                                 const std::vector<membership::Peer>& living) const {
+  const membership::Peer* named =
+      job == nullptr || job->wanted().empty() ? nullptr : find_alive(living, job->wanted());
+  if (named != nullptr && (!has_owner(job) || named->name != job->owner())) return named;
+  const membership::Peer* responsive = choose_owner(settings, living, unresponsive_routers(now));
+  return responsive != nullptr ? responsive : choose_owner(settings, living);
 }
 
-std::vector<Command> LeaseManager::decide(Micros now, const LeaseStateMachine& jobs,
-                                          const std::vector<membership::Peer>& living) {
+std::vector<Command> LeaseManager::decide_grants(Micros now, const LeaseStateMachine& leases,
+                                                 const std::vector<membership::Peer>& living) {
   std::vector<Command> out;
-  next_ = core::kNever;
-  if (!leading_) return out;
-  next_ = now + kLook;
-  for (const Wanted& w : wanted_) {
-    const Job* job = jobs.find(w.name);
-    if (job == nullptr && now < since_ + times_.settle) {
-      next_ = std::min(next_, since_ + times_.settle);
-      continue;
-    }
-    const bool owned = job != nullptr && !job->owner().empty();
-    const auto over = over_.find(w.name);
-    const Micros ends =
-        std::max(since_ + times_.lease + times_.margin(), over == over_.end() ? 0 : over->second);
-    if (owned && now < ends) {
-      next_ = std::min(next_, ends);
-      continue;
-    }
-    // A release says that its owner acts no more: nothing has to run out. Nor for a job that never had an
-    // owner.
-    const auto asked = asked_.find(w.name);
-    if (asked != asked_.end() && now < asked->second + kGrantAgain) continue;
-    const membership::Peer* to = nullptr;
-    if (job != nullptr && !job->wanted().empty()) {
-      for (const membership::Peer& p : living) {
-        if (p.name == job->wanted() && p.standing == coordination::ALIVE) to = &p;
-      }
-    }
-    // One that let it lie although it seems alive comes last: who is dead is known later than that.
-    if (owned) silent_[job->owner()] = now;
-    std::set<std::string> silent;
-    for (const auto& [router, since] : silent_) {
-      if (now < since + kSilent) silent.insert(router);
-    }
-    if (to == nullptr || (owned && to->name == job->owner())) to = choose(w, living, silent);
-    if (to == nullptr) to = choose(w, living);
-    if (to == nullptr) continue;
-    asked_[w.name] = now;
-    Command c;
-    c.mutable_grant()->set_job(w.name);
-    c.mutable_grant()->set_owner(to->name);
-    c.mutable_grant()->set_birth(to->birth);
-    c.mutable_grant()->set_seen(job == nullptr ? 0 : job->number());
-    out.push_back(c);
+  next_timer_ = core::kNever;
+  if (!is_leader_) return out;
+  next_timer_ = now + kDecisionPeriod;
+  for (const JobSettings& settings : jobs_) {
+    const Job* job = leases.find(settings.name);
+    if (!may_grant(now, settings, job)) continue;
+    // Its owner may still seem alive: that a router is dead is known later than that its lease has run out.
+    if (has_owner(job)) unresponsive_since_[job->owner()] = now;
+    const membership::Peer* owner = next_owner(now, settings, job, living);
+    if (owner == nullptr) continue;
+    grant_proposed_at_[settings.name] = now;
+    out.push_back(make_grant(settings, job, *owner));
   }
   return out;
 }
--- a/src/coordination/lease_state_machine.cpp
+++ b/src/coordination/lease_state_machine.cpp
@@ -5,20 +5,21 @@
 namespace flintglade::coordination {
 
 const Job* LeaseStateMachine::find(std::string_view name) const {
-  for (const Job& j : table_.jobs()) {
-    if (j.name() == name) return &j;
+  for (const Job& job : table_.jobs()) {
+    if (job.name() == name) return &job;
   }
   return nullptr;
 }
-Job* LeaseStateMachine::get(const std::string& name) { return const_cast<Job*>(find(name)); }
 
-std::vector<HeldLease> LeaseStateMachine::still(const Renew& renew) const {
+Job* LeaseStateMachine::find_mutable(const std::string& name) { return const_cast<Job*>(find(name)); }
+
+std::vector<HeldLease> LeaseStateMachine::still_held(const Renew& renew) const {
   std::vector<HeldLease> out;
-  for (const HeldLease& h : renew.held()) {
-    const Job* job = find(h.job());
-    if (job != nullptr && job->number() == h.number() && job->owner() == renew.owner() &&
+  for (const HeldLease& held : renew.held()) {
+    const Job* job = find(held.job());
+    if (job != nullptr && job->number() == held.number() && job->owner() == renew.owner() &&
         job->birth() == renew.birth())
-      out.push_back(h);
+      out.push_back(held);
   }
   return out;
 }
@@ -26,46 +27,21 @@
 Applied LeaseStateMachine::apply(const Command& command) {
   Applied out;
   switch (command.what_case()) {
-    case Command::kGrant: {
-      const Grant& g = command.grant();
-      Job* job = get(g.job());
-      if (job == nullptr) {
-        if (table_.jobs_size() >= kMostJobs || g.seen() != 0) break;
-        job = table_.add_jobs();
-        job->set_name(g.job());
-      } else if (job->number() != g.seen()) {
-        break;  // somebody was granted it meanwhile
-      }
-      table_.set_last_number(table_.last_number() + 1);
-      job->set_number(table_.last_number());
-      job->set_owner(g.owner());
-      job->set_birth(g.birth());
-      job->clear_wanted();  // also where it went elsewhere, since that router is gone: its owner would give
-                            // it up at once
-      out.job = g.job();
-      out.changed = true;
+    case Command::kGrant:
+      out.changed = grant(command.grant());
+      out.job = command.grant().job();
       break;
-    }
     case Command::kRenew:
-      out.renewed = still(command.renew());
+      out.renewed = still_held(command.renew());
       break;
-    case Command::kRelease: {
-      Job* job = get(command.release().job());
-      if (job == nullptr || job->number() != command.release().number() || job->owner().empty()) break;
-      job->clear_owner();
-      job->clear_birth();
-      out.job = job->name();
-      out.changed = true;
+    case Command::kRelease:
+      out.changed = release(command.release());
+      out.job = command.release().job();
       break;
-    }
-    case Command::kMove: {
-      Job* job = get(command.move().job());
-      if (job == nullptr || job->owner() == command.move().to()) break;
-      job->set_wanted(command.move().to());
-      out.job = job->name();
-      out.changed = true;
+    case Command::kMove:
+      out.changed = move(command.move());
+      out.job = command.move().job();
       break;
-    }
     case Command::kDraw:
       out.changed = draw(command.draw());
       out.job = command.draw().job();
@@ -77,34 +53,72 @@
   return out;
 }
 
-// The sum of all draws of a window never passes its whole: a draw of a former owner, of a window that is over
-// or one that was done already changes nothing, and the last one gets what is left.
-bool LeaseStateMachine::draw(const StockDraw& d) {
-  const Job* job = find(d.job());
-  if (job == nullptr || job->number() != d.number() || d.amount() <= 0 || d.whole() <= 0) return false;
-  Stock* stock = nullptr;
-  for (Stock& s : *table_.mutable_stocks()) {
-    if (s.name() == d.stock()) stock = &s;
+bool LeaseStateMachine::grant(const Grant& grant) {
+  Job* job = find_mutable(grant.job());
+  if (job == nullptr) {
+    if (table_.jobs_size() >= kMaxJobs || grant.seen() != 0) return false;
+    job = table_.add_jobs();
+    job->set_name(grant.job());
+  } else if (job->number() != grant.seen()) {
+    return false;  // another grant was applied since the leader decided on this one
   }
-  if (stock == nullptr) {
-    if (table_.stocks_size() >= kMostStocks) return false;
-    stock = table_.add_stocks();
-    stock->set_name(d.stock());
-    stock->set_window(d.window());
-    stock->set_whole(d.whole());
+  table_.set_last_number(table_.last_number() + 1);
+  job->set_number(table_.last_number());
+  job->set_owner(grant.owner());
+  job->set_birth(grant.birth());
+  // Also where the job went to a router that the operator did not name, as the named one is gone: with the
+  // wish still in the table the new owner would release the job at once.
+  job->clear_wanted();
+  return true;
+}
+
+bool LeaseStateMachine::release(const Release& release) {
+  Job* job = find_mutable(release.job());
+  if (job == nullptr || job->number() != release.number() || job->owner().empty()) return false;
+  job->clear_owner();
+  job->clear_birth();
+  return true;
+}
+
+bool LeaseStateMachine::move(const Move& move) {
+  Job* job = find_mutable(move.job());
+  if (job == nullptr || job->owner() == move.to()) return false;
+  job->set_wanted(move.to());
+  return true;
+}
+
+Stock* LeaseStateMachine::find_or_add_stock(const StockDraw& draw) {
+  Stock* found = nullptr;
+  for (Stock& stock : *table_.mutable_stocks()) {
+    if (stock.name() == draw.stock()) found = &stock;
   }
-  if (d.window() < stock->window()) return false;
-  if (stock->number() == d.number() && d.serial() <= stock->serial()) return false;
-  if (d.window() > stock->window()) {
-    stock->set_window(d.window());
+  if (found != nullptr || table_.stocks_size() >= kMaxStocks) return found;
+  found = table_.add_stocks();
+  found->set_name(draw.stock());
+  found->set_window(draw.window());
+  found->set_whole(draw.whole());
+  return found;
+}
+
+// The sum of all draws of a window never passes its total: a draw by a former owner, of a window that is
+// over, or one that was applied already changes nothing, and the last draw gets what is left.
+bool LeaseStateMachine::draw(const StockDraw& draw) {
+  const Job* job = find(draw.job());
+  if (job == nullptr || job->number() != draw.number() || draw.amount() <= 0 || draw.whole() <= 0)
+    return false;
+  Stock* stock = find_or_add_stock(draw);
+  if (stock == nullptr || draw.window() < stock->window()) return false;
+  if (stock->number() == draw.number() && draw.serial() <= stock->serial()) return false;
+  if (draw.window() > stock->window()) {
+    stock->set_window(draw.window());
     stock->set_drawn(0);
-    stock->set_whole(d.whole());
+    stock->set_whole(draw.whole());
   }
-  stock->set_whole(std::min(stock->whole(), d.whole()));
-  const std::int64_t granted = std::clamp<std::int64_t>(stock->whole() - stock->drawn(), 0, d.amount());
+  stock->set_whole(std::min(stock->whole(), draw.whole()));
+  const std::int64_t granted = std::clamp<std::int64_t>(stock->whole() - stock->drawn(), 0, draw.amount());
   stock->set_drawn(stock->drawn() + granted);
-  stock->set_number(d.number());
-  stock->set_serial(d.serial());
+  stock->set_number(draw.number());
+  stock->set_serial(draw.serial());
   stock->set_granted(granted);
   return true;
 }
--- a/src/coordination/shared_endpoint_list.cpp
+++ b/src/coordination/shared_endpoint_list.cpp
@@ -5,10 +5,21 @@
 
 namespace flintglade::coordination {
 namespace {
-constexpr std::size_t kMostLines = 256;
-constexpr std::size_t kMostInEffect = 48u
-                                      << 10;  // a longer line is not passed on: who misses it asks discovery
-constexpr Micros kAskAgain = 200 * core::kMilli;
+
+constexpr std::size_t kMaxKeptLines = 256;
+// An effect has to fit into one UDP datagram. A longer line is not passed on: followers miss it, and fall
+// back to discovery.
+constexpr std::size_t kMaxEffectBytes = 48u << 10;
+constexpr Micros kRequestRetryDelay = 200 * core::kMilli;
+
+ListLine make_line(std::uint32_t after, std::uint32_t revision, std::string_view text) {
+  ListLine line;
+  line.set_after(after);
+  line.set_rev(revision);
+  line.set_text(text.data(), text.size());
+  return line;
+}
+
 }  // namespace
 
 SharedEndpointList::SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
@@ -19,132 +30,130 @@
       source_(std::move(source)),
       random_(seed) {}
 
-const char* SharedEndpointList::name(State s) {
+const char* SharedEndpointList::state_name(State state) {
   static constexpr const char* kNames[] = {"alone", "following", "reader"};
-  return kNames[static_cast<std::size_t>(s)];
+  return kNames[static_cast<std::size_t>(state)];
 }
 
-void SharedEndpointList::become(State s) {
-  if (state_ == s) return;
-  const bool was_closed = state_ == State::following;
-  state_ = s;
+void SharedEndpointList::enter(State state) {
+  if (state_ == state) return;
+  const bool was_following = state_ == State::following;
+  state_ = state;
   behind_since_ = -1;
-  wait_ = std::uniform_int_distribution<Micros>(0, settings_.spread)(random_);
-  next_beat_ = s == State::reader ? clock_.now() : core::kNever;
-  if (s == State::following) {
-    ports_.watch(false);
-  } else if (was_closed && observed_) {
-    ports_.watch(true);
+  fallback_delay_ = std::uniform_int_distribution<Micros>(0, settings_.fallback_jitter)(random_);
+  next_heartbeat_ = state == State::reader ? clock_.now() : core::kNever;
+  if (state == State::following) {
+    ports_.set_watch_open(false);
+  } else if (was_following && is_subscribed_) {
+    ports_.set_watch_open(true);
   }
-  if (ports_.changed) ports_.changed(name(s));
+  if (ports_.on_state_change) ports_.on_state_change(state_name(state));
 }
 
 void SharedEndpointList::subscribe(bool on) {
-  observed_ = on;
-  if (state_ != State::following || !on) ports_.watch(on);
+  is_subscribed_ = on;
+  if (state_ != State::following || !on) ports_.set_watch_open(on);
 }
 
-void SharedEndpointList::keep(std::uint32_t after, std::uint32_t rev, std::string_view text) {
-  ListLine l;
-  l.set_after(after);
-  l.set_rev(rev);
-  l.set_text(text.data(), text.size());
-  bytes_ += text.size();
-  lines_.push_back(std::move(l));
-  while (!lines_.empty() && (bytes_ > settings_.most_bytes || lines_.size() > kMostLines)) {
-    bytes_ -= lines_.front().text().size();
-    lines_.pop_front();
+void SharedEndpointList::keep_line(std::uint32_t after, std::uint32_t revision, std::string_view text) {
+  kept_bytes_ += text.size();
+  kept_lines_.push_back(make_line(after, revision, text));
+  while (!kept_lines_.empty() &&
+         (kept_bytes_ > settings_.max_kept_bytes || kept_lines_.size() > kMaxKeptLines)) {
+    kept_bytes_ -= kept_lines_.front().text().size();
+    kept_lines_.pop_front();
   }
 }
 
-void SharedEndpointList::line(std::uint32_t after, std::uint32_t rev, std::string_view text) {
-  rev_ = rev;
-  keep(after, rev, text);
+Effect SharedEndpointList::make_heartbeat() const {
+  Effect effect;
+  effect.set_source(source_);
+  effect.set_rev(revision_);
+  return effect;
+}
+
+void SharedEndpointList::on_watch_line(std::uint32_t after, std::uint32_t revision, std::string_view text) {
+  revision_ = revision;
+  keep_line(after, revision, text);
   if (state_ != State::reader) return;
-  Effect e;
-  e.set_source(source_);
-  e.set_rev(rev);
-  if (text.size() <= kMostInEffect) {
-    ListLine* l = e.add_lines();
-    l->set_after(after);
-    l->set_rev(rev);
-    l->set_text(text.data(), text.size());
-  }
-  next_beat_ = clock_.now() + settings_.beat;
-  ports_.publish(std::move(e));
+  Effect effect = make_heartbeat();
+  if (text.size() <= kMaxEffectBytes) *effect.add_lines() = make_line(after, revision, text);
+  next_heartbeat_ = clock_.now() + settings_.heartbeat_period;
+  ports_.publish(std::move(effect));
 }
 
-void SharedEndpointList::reader(bool is) {
-  if (is) return become(State::reader);
-  if (state_ == State::reader) become(State::alone);
+void SharedEndpointList::set_reader(bool is_reader) {
+  if (is_reader) return enter(State::reader);
+  if (state_ == State::reader) enter(State::alone);
 }
 
-void SharedEndpointList::effect(const Effect& e) {
-  if (e.source() != source_) return;
-  if (state_ == State::reader) return;  // of one that does not know yet that it is none any more
-  heard_ = clock_.now();
-  for (const ListLine& l : e.lines()) {
-    if (l.rev() <= rev_ || l.after() > rev_) continue;
-    if (!ports_.feed(l.text())) continue;
-    rev_ = l.rev();
-    keep(l.after(), l.rev(), l.text());
-  }
-  if (rev_ >= e.rev()) {
-    behind_since_ = -1;
-    if (rev_ > 0) become(State::following);
-    return;
+void SharedEndpointList::on_effect(const Effect& effect) {
+  if (effect.source() != source_) return;
+  if (state_ == State::reader) return;  // of a former reader whose lease has ended
+  reader_heard_at_ = clock_.now();
+  apply_lines(effect);
+  if (revision_ < effect.rev()) return request_missing_lines();
+  behind_since_ = -1;
+  if (revision_ > 0) enter(State::following);
+}
+
+void SharedEndpointList::apply_lines(const Effect& effect) {
+  for (const ListLine& line : effect.lines()) {
+    if (line.rev() <= revision_ || line.after() > revision_) continue;
+    if (!ports_.apply_line(line.text())) continue;
+    revision_ = line.rev();
+    keep_line(line.after(), line.rev(), line.text());
   }
-  // A change was lost on its way, or was too long.
+}
+
+// A datagram with a change was lost, or the change was too long for one.
+void SharedEndpointList::request_missing_lines() {
   const Micros now = clock_.now();
   if (behind_since_ < 0) behind_since_ = now;
-  if (now >= asked_ + kAskAgain) {
-    asked_ = now;
-    ports_.want(rev_);
-  }
+  if (now < lines_requested_at_ + kRequestRetryDelay) return;
+  lines_requested_at_ = now;
+  ports_.request_lines(revision_);
 }
 
-void SharedEndpointList::wanted(std::uint32_t rev, const std::string& from) {
+void SharedEndpointList::on_list_request(std::uint32_t after, const std::string& address) {
   if (state_ != State::reader) return;
-  Effect e;
-  e.set_source(source_);
-  e.set_rev(rev_);
-  std::size_t size = 0;
-  std::uint32_t at = rev;
-  for (const ListLine& l : lines_) {
-    if (l.rev() <= at || l.after() > at || size + l.text().size() > kMostInEffect) continue;
-    *e.add_lines() = l;
-    size += l.text().size();
-    at = l.rev();
+  Effect effect = make_heartbeat();
+  std::size_t bytes = 0;
+  std::uint32_t reached = after;
+  for (const ListLine& line : kept_lines_) {
+    if (line.rev() <= reached || line.after() > reached || bytes + line.text().size() > kMaxEffectBytes)
+      continue;
+    *effect.add_lines() = line;
+    bytes += line.text().size();
+    reached = line.rev();
   }
-  ports_.send(std::move(e), from);
+  ports_.send(std::move(effect), address);
 }
 
-void SharedEndpointList::moved(const std::string& source) {
+void SharedEndpointList::set_source(const std::string& source) {
   if (source == source_) return;
   source_ = source;
-  rev_ = 0;
-  lines_.clear();
-  bytes_ = 0;
-  if (state_ == State::following) become(State::alone);
+  revision_ = 0;
+  kept_lines_.clear();
+  kept_bytes_ = 0;
+  if (state_ == State::following) enter(State::alone);
 }
 
 void SharedEndpointList::tick() {
   const Micros now = clock_.now();
-  if (state_ == State::reader && now >= next_beat_) {
-    next_beat_ = now + settings_.beat;
-    Effect e;
-    e.set_source(source_);
-    e.set_rev(rev_);
-    ports_.publish(std::move(e));
+  if (state_ == State::reader && now >= next_heartbeat_) {
+    next_heartbeat_ = now + settings_.heartbeat_period;
+    ports_.publish(make_heartbeat());
   }
-  if (state_ == State::following && now >= next()) become(State::alone);
+  if (state_ == State::following && now >= next_timer()) enter(State::alone);
 }
 
-Micros SharedEndpointList::next() const {
-  if (state_ == State::reader) return next_beat_;
+Micros SharedEndpointList::next_timer() const {
+  if (state_ == State::reader) return next_heartbeat_;
   if (state_ == State::alone) return core::kNever;
-  const Micros silent = heard_ + settings_.silence + wait_;
-  return behind_since_ < 0 ? silent : std::min(silent, behind_since_ + settings_.silence + wait_);
+  const Micros patience = settings_.reader_timeout + fallback_delay_;
+  const Micros reader_lost_at = reader_heard_at_ + patience;
+  return behind_since_ < 0 ? reader_lost_at : std::min(reader_lost_at, behind_since_ + patience);
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/shared_endpoint_list.h
+++ b/src/coordination/shared_endpoint_list.h
@@ -1,13 +1,15 @@
-// One router of a site watches discovery and passes on what it reads; the others keep their own watches
-// closed while they hear it. Decides who reads; does no I/O, time is handed in. Runs beside the core, on its
+// The endpoint list that one router of a site reads from discovery and passes on to the others.
+//
+// Decides which watch on discovery is open; does no I/O, time is handed in. Runs beside the core, on its
 // thread.
 //
 //   alone      reads for itself, as a router without a fleet does
-//   following  its watch is closed: what the reader passes on is fed to it
-//   reader     reads, and passes on
+//   following  its watch is closed: it applies what the reader passes on
+//   reader     reads, and passes on: this router has the lease on the job
 //
-// Whoever hears nothing from the reader for `silence`, or misses a change for as long, reads for itself
-// again, after a wait of its own of up to `spread`: the whole site does not ask at once.
+// A follower that gets nothing from the reader for `reader_timeout`, or misses a change for as long, reads
+// for itself again, after a random delay of up to `fallback_jitter`, so that a whole site does not ask
+// discovery at once.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +18,6 @@
 #include <random>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "coordination.pb.h"
 #include "core/ports.h"
@@ -28,40 +29,61 @@
 class SharedEndpointList final : public core::EndpointList {
  public:
   struct Settings {
-    Micros silence = 2 * core::kSecond;
-    Micros spread = core::kSecond;
-    Micros beat = 250 * core::kMilli;     // the reader says which list it holds
-    std::size_t most_bytes = 256u << 10;  // of lines that are kept for those who missed one
+    Micros reader_timeout = 2 * core::kSecond;
+    Micros fallback_jitter = core::kSecond;
+    Micros heartbeat_period =
+        250 * core::kMilli;                   // how often the reader announces the revision that it holds
+    std::size_t max_kept_bytes = 256u << 10;  // of lines that are kept for routers that missed one
   };
+  // What this object does to the rest of the router.
   struct Ports {
-    std::function<void(bool)> watch;             // the own watch: open it (and ask anew), or close it
-    std::function<bool(std::string_view)> feed;  // a line as if the watch had read it; false: it is no list
-    std::function<void(Effect)> publish;         // as the reader
-    std::function<void(Effect, const std::string&)> send;  // to one that asked
-    std::function<void(std::uint32_t)> want;               // from the reader: what came after
-    std::function<void(const char*)> changed;              // the state's name
+    // Opens this router's own watch, which asks for the whole list, or closes it.
+    std::function<void(bool)> set_watch_open;
+    // Applies a line as if the watch had read it; false: it is no list.
+    std::function<bool(std::string_view)> apply_line;
+    // As the reader: to all routers of the site, or to the address of one that asked.
+    std::function<void(Effect)> publish;
+    std::function<void(Effect, const std::string&)> send;
+    // Asks the reader for what came after this revision.
+    std::function<void(std::uint32_t)> request_lines;
+    // With the name of the new state.
+    std::function<void(const char*)> on_state_change;
   };
   enum class State { alone, following, reader };
 
+  // `source`: the discovery service that the list comes from, as host:port.
   SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
                      std::uint64_t seed);
 
-  void subscribe(bool on) override;  // by the core
-  // The own watch has read a line: of a list that was at `after` (0: it is whole) and now is at rev.
-  void line(std::uint32_t after, std::uint32_t rev, std::string_view text);
-  void holds(std::uint32_t rev) { rev_ = rev; }  // without a line: the list known at the start
-  void reader(bool is);                          // this router's lease on the job begins or ends
-  void effect(const Effect& effect);             // of the reader, admitted by the fence
-  void wanted(std::uint32_t rev, const std::string& from);
-  void moved(const std::string& source);  // the list comes from elsewhere from now on
+  // core::EndpointList: whether the core wants the list.
+  void subscribe(bool on) override;
+
+  // This router's own watch has read a line, which takes a list from revision `after` (0: any) to `revision`.
+  void on_watch_line(std::uint32_t after, std::uint32_t revision, std::string_view text);
+  // The revision of the list that is known at the start.
+  void set_revision(std::uint32_t revision) { revision_ = revision; }
+  // This router's lease on the job begins or ends.
+  void set_reader(bool is_reader);
+  // The reader's lines or heartbeat, admitted by its fencing token.
+  void on_effect(const Effect& effect);
+  // A router asks for what came after this revision.
+  void on_list_request(std::uint32_t after, const std::string& address);
+  // The list comes from another discovery service from now on.
+  void set_source(const std::string& source);
   void tick();
-  Micros next() const;
+  // When to call tick().
+  Micros next_timer() const;
+
   State state() const { return state_; }
-  static const char* name(State s);
+  static const char* state_name(State state);
 
  private:
-  void become(State s);
-  void keep(std::uint32_t after, std::uint32_t rev, std::string_view text);
+  void enter(State state);
+  void keep_line(std::uint32_t after, std::uint32_t revision, std::string_view text);
+  void apply_lines(const Effect& effect);
+  void request_missing_lines();
+  // An effect with the source and revision that this router holds, without lines.
+  Effect make_heartbeat() const;
 
   core::Clock& clock_;
   Settings settings_;
@@ -69,11 +91,15 @@
   std::string source_;
   std::mt19937_64 random_;
   State state_ = State::alone;
-  bool observed_ = false;
-  std::uint32_t rev_ = 0;
-  std::deque<ListLine> lines_;
-  std::size_t bytes_ = 0;
-  Micros heard_ = 0, behind_since_ = -1, wait_ = 0, next_beat_ = core::kNever, asked_ = 0;
+  bool is_subscribed_ = false;
+  std::uint32_t revision_ = 0;
+  std::deque<ListLine> kept_lines_;
+  std::size_t kept_bytes_ = 0;
+  Micros reader_heard_at_ = 0;
+  Micros behind_since_ = -1;  // a line was missed; -1: none is
+  Micros fallback_delay_ = 0;
+  Micros next_heartbeat_ = core::kNever;
+  Micros lines_requested_at_ = 0;
 };
 
 }  // namespace flintglade::coordination
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -42,7 +42,7 @@
   }
   coordination::SharedStateMessage s;
   *s.mutable_ask() = ask;
-  const membership::Peer* bank = agent.owner(kQuotaAllocatorLease);
+  const membership::Peer* bank = agent.find_owner(kQuotaAllocatorLease);
   if (!to_peer && bank != nullptr) return share(now, agent, bank->name, std::move(s));
   counters_.no_bank += !to_peer;
   const auto others = living(agent);
@@ -65,7 +65,7 @@
     return;
   }
   // To the bank that handed it out, and to no other: it could be handed out twice.
-  for (const coordination::Job& j : agent.table().jobs()) {
+  for (const coordination::Job& j : agent.lease_table().jobs()) {
     if (j.name() != kQuotaAllocatorLease || j.number() != back.bank() || j.owner().empty()) continue;
     coordination::SharedStateMessage s;
     *s.mutable_back() = back;
@@ -103,7 +103,7 @@
 void SharedState::absurd(coordination::CoordinationProtocol& agent, const std::string& from,
                          const std::string& what) {
   ++counters_.absurd;
-  agent.event("shared_state_message_rejected", {{"from", from}, {"why", what}}, true);
+  agent.log_event("shared_state_message_rejected", {{"from", from}, {"why", what}}, true);
 }
 
 // How much longer than the quickest one of this life this packet was on its way.
@@ -126,41 +126,41 @@
 }
 
 void SharedState::receive(Micros now, coordination::CoordinationProtocol& agent,
-                          const coordination::CoordinationProtocol::Word& word) {
-  using What = coordination::CoordinationProtocol::Word::What;
-  if (word.job == kQuotaAllocatorLease && word.what == What::starts) {
-    quota_allocator_.starts(now, word.number);
+                          const coordination::JobNotification& notification) {
+  using Kind = coordination::JobNotification::Kind;
+  if (notification.job == kQuotaAllocatorLease && notification.kind == Kind::lease_acquired) {
+    quota_allocator_.starts(now, notification.number);
     next_bank_ = now;
   }
-  if (word.job == kQuotaAllocatorLease && word.what == What::stops) {
+  if (notification.job == kQuotaAllocatorLease && notification.kind == Kind::lease_released) {
     quota_allocator_.stops();
     next_bank_ = core::kNever;
   }
-  if (word.what != What::share) return;
+  if (notification.kind != Kind::shared_state) return;
   ++counters_.received;
-  const coordination::SharedStateMessage& s = word.share;
-  if (word.who.empty() || word.who.size() > kMostName || word.who == self_.first || word.birth == 0) {
-    return absurd(agent, word.from, "no name");
+  const coordination::SharedStateMessage& s = notification.shared_state;
+  if (notification.sender.empty() || notification.sender.size() > kMostName || notification.sender == self_.first || notification.sender_birth == 0) {
+    return absurd(agent, notification.sender_address, "no name");
   }
-  const Micros longer = late(now, word.who, word.birth, s.sent_us());
-  Clock& clock = clocks_[word.who];
+  const Micros longer = late(now, notification.sender, notification.sender_birth, s.sent_us());
+  Clock& clock = clocks_[notification.sender];
   clock.unix_apart = s.unix_us() - ports_.unix_time();
   clock.heard = now;
   switch (s.what_case()) {
     case coordination::SharedStateMessage::kAsk:
-      answer(now, agent, word.from, word.who, word.birth, s.ask());
+      answer(now, agent, notification.sender_address, notification.sender, notification.sender_birth, s.ask());
       break;
     case coordination::SharedStateMessage::kParcel:
       ports_.parcel(s.parcel());
       break;
     case coordination::SharedStateMessage::kBack:
-      quota_allocator_.returned(now, word.who, s.back());
+      quota_allocator_.returned(now, notification.sender, s.back());
       break;
     case coordination::SharedStateMessage::kNews:
-      take(now, agent, s.news(), longer, word.who);
+      take(now, agent, s.news(), longer, notification.sender);
       break;
     case coordination::SharedStateMessage::kDigest:
-      take(now, agent, s.digest(), word.who);
+      take(now, agent, s.digest(), notification.sender);
       break;
     default:
       break;
@@ -251,25 +251,25 @@
 std::vector<const membership::Peer*> SharedState::living(
     const coordination::CoordinationProtocol& agent) const {
   std::vector<const membership::Peer*> out;
-  for (const auto& [name, p] : agent.peers().others()) {
+  for (const auto& [name, p] : agent.membership().others()) {
     if (p.standing == coordination::ALIVE || p.standing == coordination::SUSPECT) out.push_back(&p);
   }
   return out;
 }
 
 int SharedState::passes(const coordination::CoordinationProtocol& agent) const {
-  return 2 + static_cast<int>(std::log2(1.0 + static_cast<double>(agent.peers().others().size())) / 2);
+  return 2 + static_cast<int>(std::log2(1.0 + static_cast<double>(agent.membership().others().size())) / 2);
 }
 
 void SharedState::share(Micros now, coordination::CoordinationProtocol& agent, const std::string& to,
                         coordination::SharedStateMessage share) {
-  const auto it = agent.peers().others().find(to);
-  if (it == agent.peers().others().end()) return;
+  const auto it = agent.membership().others().find(to);
+  if (it == agent.membership().others().end()) return;
   share.set_sent_us(now);
   share.set_unix_us(ports_.unix_time());
   ++counters_.sent;
   counters_.bytes += share.ByteSizeLong();
-  agent.share(to, it->second.at, share);
+  agent.send_shared_state(to, it->second.at, share);
 }
 
 void SharedState::gossip(Micros now, coordination::CoordinationProtocol& agent) {
@@ -349,15 +349,15 @@
   if (now >= next_opinions_) tell_opinions(now, agent);
   if (now >= next_bank_) {
     next_bank_ = quota_allocator_.open() ? now + kBankTick : core::kNever;
-    quota_allocator_.record(agent.table());
+    quota_allocator_.record(agent.lease_table());
     if (is_bank(now, agent)) {
       for (const coordination::StockDraw& d : quota_allocator_.draws(now, fleet_time(now)))
-        agent.draw(now, d);
+        agent.draw_from_stock(now, d);
     }
   }
 }
 
-Micros SharedState::next() const {
+Micros SharedState::next_timer() const {
   return std::min({next_gossip_, next_compare_, next_opinions_, next_bank_});
 }
 
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -19,7 +19,7 @@
 
 namespace flintglade::shared {
 
-class SharedState final : public coordination::Companion {
+class SharedState final : public coordination::ProtocolExtension {
  public:
   struct Ports {
     std::function<void(const coordination::QuotaLease&)> parcel;  // for this router's wallet
@@ -49,11 +49,11 @@
   std::string restore(Micros now, std::string_view bytes);
   std::string snapshot(Micros now) const;
 
-  // ---- coordination::Companion
+  // ---- coordination::ProtocolExtension
   void receive(Micros now, coordination::CoordinationProtocol& agent,
-               const coordination::CoordinationProtocol::Word& word) override;
+               const coordination::JobNotification& notification) override;
   void tick(Micros now, coordination::CoordinationProtocol& agent) override;
-  Micros next() const override;
+  Micros next_timer() const override;
   void status(Micros now, const coordination::CoordinationProtocol& agent,
               coordination::Status& out) const override;
 
@@ -79,7 +79,7 @@
   int passes(const coordination::CoordinationProtocol& agent) const;
   void tell_opinions(Micros now, const coordination::CoordinationProtocol& agent);
   bool is_bank(Micros now, const coordination::CoordinationProtocol& agent) const {
-    return quota_allocator_.open() && agent.proved(now, kQuotaAllocatorLease);
+    return quota_allocator_.open() && agent.has_valid_lease(now, kQuotaAllocatorLease);
   }
 
   Settings settings_;
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -11,6 +11,7 @@
 #include <filesystem>
 #include <fstream>
 #include <map>
+#include <optional>
 #include <sstream>
 
 #include "check.h"
@@ -130,17 +131,17 @@
 
   Audit audit() const {
     Audit out;
-    for (std::size_t i = 0; i < routers_.size(); ++i) out.read(id(i), log(i));
+    for (std::size_t i = 0; i < routers_.size(); ++i) out.add_log(id(i), log(i));
     return out;
   }
   // The one owner that has started last, if it has not stopped since; of processes that live.
   int owner() const {
-    const auto owners = audit().owners();
-    const Audit::Owner* last = nullptr;
-    for (const Audit::Owner& o : owners) {
+    const auto owners = audit().ownerships();
+    const Audit::Ownership* last = nullptr;
+    for (const Audit::Ownership& o : owners) {
       if (o.job == kJob && (last == nullptr || o.number >= last->number)) last = &o;
     }
-    if (last == nullptr || last->why != "its log ends") return -1;
+    if (last == nullptr || last->end_reason != "its log ends") return -1;
     for (std::size_t i = 0; i < routers_.size(); ++i) {
       if (id(i) == last->router && runs(i)) return static_cast<int>(i);
     }
@@ -148,7 +149,7 @@
   }
   std::uint64_t number() const {
     std::uint64_t most = 0;
-    for (const Audit::Owner& o : audit().owners()) most = std::max(most, o.number);
+    for (const Audit::Ownership& o : audit().ownerships()) most = std::max(most, o.number);
     return most;
   }
   int wait_owner(std::uint64_t above, int ms, const std::vector<std::size_t>& not_these = {}) {
@@ -171,8 +172,9 @@
       std::istringstream lines(log(i));
       std::uint64_t leads = 0;
       for (std::string text; std::getline(lines, text);) {
-        LogLine line;
-        if (!coordination::read_line(text, line)) continue;
+        const std::optional<LogLine> parsed = coordination::parse_log_line(text);
+        if (!parsed) continue;
+        const LogLine& line = *parsed;
         if (line.event == "leadership_acquired") leads = std::strtoull(line["term"].c_str(), nullptr, 10);
         if (line.event == "leadership_lost" || (line.event == "listening" && line["wire"] == "http"))
           leads = 0;
@@ -233,8 +235,8 @@
   }
   void sound() const {
     const Audit a = audit();
-    for (const std::string& b : a.broken()) std::fprintf(stderr, "BROKEN: %s\n", b.c_str());
-    CHECK(a.broken().empty());
+    for (const std::string& b : a.violations()) std::fprintf(stderr, "BROKEN: %s\n", b.c_str());
+    CHECK(a.violations().empty());
   }
   void print_logs() const {
     for (std::size_t i = 0; i < routers_.size(); ++i)
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -60,7 +60,7 @@
   }
   const Audit a = fleet.audit();
   std::printf("%d stops, %zu changes of owner, %llu effects of former owners refused\n", rounds, moved,
-              static_cast<unsigned long long>(a.refused()));
+              static_cast<unsigned long long>(a.stale_effects()));
   fleet.sound();
 }
 
@@ -92,7 +92,7 @@
   fleet.links.between({o}, hear, {false, 0, 0, 2500, 0}, false);
   fleet.links.between({o}, {0, 1, 2}, cut);
   const int second = owned_again(number, {o});
-  CHECK(within(8000, [&] { return fleet.audit().refused() > 0; }));
+  CHECK(within(8000, [&] { return fleet.audit().stale_effects() > 0; }));
   fleet.links.all({});
   number = fleet.number();
   // From those that take, not from the voters: the lease is kept, and they read for themselves.
@@ -252,7 +252,7 @@
     CHECK(fleet.command(
               {"fleet", "move", kJob, to, "--at", fleet.address(static_cast<std::size_t>(i) % 5)}) == 0);
     CHECK(within(5000, [&] { return fleet.number() > number && fleet.owner() == i % 5; }));
-    const auto owners = fleet.audit().owners();
+    const auto owners = fleet.audit().ownerships();
     gaps.push_back(static_cast<double>(owners.back().from_ms - owners[owners.size() - 2].to_ms));
     fleet.change(i % 2 == 0 ? "Terminating" : "Ready");
     pause(50);
@@ -297,7 +297,7 @@
   }
   fleet.all_follow();
   double longest = 0;
-  const auto owners = fleet.audit().owners();
+  const auto owners = fleet.audit().ownerships();
   for (std::size_t i = 1; i < owners.size(); ++i)
     longest = std::max(longest, static_cast<double>(owners[i].from_ms - owners[i - 1].to_ms));
   std::printf(
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -52,27 +52,27 @@
   Play(const World& world, const std::vector<Fault>& faults)
       : world_(world), faults_(faults), random_(world.seed) {
     if (!world.budgets.empty()) level_ = static_cast<double>(world.budgets[0].burst);
-    std::vector<coordination::VoterAt> voters;
+    std::vector<coordination::VoterAddress> voters;
     for (unsigned i = 0; i < world.voters; ++i) voters.push_back({name(i), i + 1, at(i)});
     for (unsigned i = 0; i < world.routers; ++i) {
       Box& b = boxes_.emplace_back();
-      b.settings.peers.fleet = "test";
-      b.settings.peers.seeds = {at(0), at(1)};
+      b.settings.membership.fleet = "test";
+      b.settings.membership.seeds = {at(0), at(1)};
       b.settings.self = {name(i), i % 2 == 0 ? "north" : "south", at(i), 1'000'000 + i};
       b.settings.voters = voters;
-      b.settings.lease = i < world.voters ? world.leaders : world.owners;
-      for (unsigned j = 0; j < world.jobs; ++j) b.settings.wanted.push_back({"job" + std::to_string(j), ""});
+      b.settings.lease_times = i < world.voters ? world.leaders : world.owners;
+      for (unsigned j = 0; j < world.jobs; ++j) b.settings.jobs.push_back({"job" + std::to_string(j), ""});
       b.rate = 1.0 + world.drift / 2 * (2.0 * std::uniform_real_distribution<>()(random_) - 1.0);
       b.offset = std::uniform_int_distribution<Micros>(0, 1000 * core::kSecond)(random_);
       b.weight = world.skew > 0 ? (i == 0 ? world.skew : 1.0) : 1.0 / (1.0 + i);
-      if (!world.budgets.empty()) b.settings.wanted.push_back({shared::kQuotaAllocatorLease, ""});
+      if (!world.budgets.empty()) b.settings.jobs.push_back({shared::kQuotaAllocatorLease, ""});
       if (i < world.voters) {
         b.disk = std::make_unique<MemoryDisk>();
         std::vector<coordination::Voter> first;
         for (const auto& v : voters) {
           coordination::Voter& one = first.emplace_back();
           one.set_id(v.id);
-          one.set_at(v.at);
+          one.set_at(v.address);
         }
         b.disk->bytes =
             coordination::encode_raft_log(coordination::RaftNode::initial_state("test", i + 1, first));
@@ -123,7 +123,7 @@
       if (!log.ok())
         return broken("a voter could not read its own file: " + std::string(log.status().message()));
       b.disk->bytes.resize(b.disk->bytes.size() - log->torn_bytes);
-      const absl::Status started = b.agent->vote(std::move(log->state), *b.disk);
+      const absl::Status started = b.agent->start_voting(std::move(log->state), *b.disk);
       if (!started.ok()) return broken("a voter could not start: " + std::string(started.message()));
     }
     b.agent->start(b.local(now_));
@@ -177,22 +177,22 @@
     seen_.trace.add_text(datagram.to);
     seen_.trace.add_text(datagram.bytes);
   }
-  void record(std::size_t receiver, const coordination::CoordinationProtocol::Word& word) {
+  void record(std::size_t receiver, const coordination::JobNotification& notification) {
     seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
     seen_.trace.add_integer(receiver);
-    seen_.trace.add_integer(static_cast<std::uint64_t>(word.what));
-    seen_.trace.add_text(word.job);
-    seen_.trace.add_integer(word.number);
+    seen_.trace.add_integer(static_cast<std::uint64_t>(notification.kind));
+    seen_.trace.add_text(notification.job);
+    seen_.trace.add_integer(notification.number);
   }
 
   void flush(std::size_t i) {
-    std::vector<coordination::CoordinationProtocol::Word> words = boxes_[i].agent->words();
+    std::vector<coordination::JobNotification> words = boxes_[i].agent->take_notifications();
     if (Box& b = boxes_[i]; b.shared_state) {
-      for (const coordination::CoordinationProtocol::Word& w : words)
+      for (const coordination::JobNotification& w : words)
         b.shared_state->receive(b.local(now_), *b.agent, w);
     }
-    for (const coordination::CoordinationProtocol::Word& w : words) record(i, w);
-    for (membership::Datagram& d : boxes_[i].agent->take()) {
+    for (const coordination::JobNotification& w : words) record(i, w);
+    for (membership::Datagram& d : boxes_[i].agent->take_datagrams()) {
       record(i, d);
       for (std::size_t to = 0; to < boxes_.size(); ++to) {
         if (at(to) != d.to) continue;
@@ -202,8 +202,8 @@
         if (random_() % 50 == 0) flying_.push_back({now_ + 3 * delay, i, to, d.bytes});  // twice
       }
     }
-    for (const coordination::CoordinationProtocol::Word& w : words) {
-      if (w.what != coordination::CoordinationProtocol::Word::What::effect) continue;
+    for (const coordination::JobNotification& w : words) {
+      if (w.kind != coordination::JobNotification::Kind::effect) continue;
       ++seen_.effects;
       std::uint64_t& highest = boxes_[i].taken[w.job];
       if (w.number < highest)
@@ -211,7 +211,7 @@
                std::to_string(highest));
       highest = std::max(highest, w.number);
     }
-    for (const coordination::Event& e : boxes_[i].agent->events()) {
+    for (const coordination::Event& e : boxes_[i].agent->take_events()) {
       seen_.refused += e.name == "stale_fencing_token";
       if (e.name != "lease_granted") continue;
       // Each voter applies each grant once in its life; a number never goes to two owners.
@@ -256,8 +256,8 @@
     }
     for (std::size_t i = 0; i < boxes_.size(); ++i) {
       // A halted voter's process is started again by whoever looks after it.
-      if (up(i) && boxes_[i].agent->node() != nullptr && boxes_[i].agent->node()->role() == "halted" &&
-          now_ >= world_.faults_until * core::kMilli) {
+      if (up(i) && boxes_[i].agent->raft_node() != nullptr &&
+          boxes_[i].agent->raft_node()->role() == "halted" && now_ >= world_.faults_until * core::kMilli) {
         boxes_[i].shared_state.reset();
         boxes_[i].agent.reset();
         boxes_[i].down_until = now_;
@@ -296,13 +296,13 @@
     for (std::size_t i = 0; i < boxes_.size(); ++i) {
       if (!awake(i)) continue;
       Box& b = boxes_[i];
-      if (b.local(now_) >= b.agent->next()) b.agent->tick(b.local(now_));
+      if (b.local(now_) >= b.agent->next_timer()) b.agent->tick(b.local(now_));
       if (now_ >= b.next_effect) {
         b.next_effect = now_ + 100 * core::kMilli;
         for (unsigned j = 0; j < world_.jobs; ++j) {
           coordination::Effect e;
           e.set_job("job" + std::to_string(j));
-          b.agent->effect(b.local(now_), e, "");
+          b.agent->send_effect(b.local(now_), e, "");
         }
       }
       flush(i);
@@ -312,7 +312,7 @@
       const std::string job = "job" + std::to_string(j);
       std::string who;
       for (std::size_t i = 0; i < boxes_.size(); ++i) {
-        if (!awake(i) || !boxes_[i].agent->proved(boxes_[i].local(now_), job)) continue;
+        if (!awake(i) || !boxes_[i].agent->has_valid_lease(boxes_[i].local(now_), job)) continue;
         if (!who.empty()) broken(job + " is proved at " + who + " and " + name(i));
         who = name(i);
       }
@@ -336,7 +336,7 @@
         b.leaves = true;
         flush(i);
       }
-      if (!b.leaves || !b.agent->left(b.local(now_))) continue;
+      if (!b.leaves || !b.agent->has_left(b.local(now_))) continue;
       b.shared_state.reset();
       b.agent.reset();
       b.leaves = false;
@@ -405,7 +405,7 @@
         b.shared_state->counted(local, b.counts);
         if (world_.intervals) interval_holds(i);
       }
-      if (local >= b.shared_state->next()) b.shared_state->tick(local, *b.agent);
+      if (local >= b.shared_state->next_timer()) b.shared_state->tick(local, *b.agent);
       flush(i);
     }
   }
@@ -460,7 +460,7 @@
       step();
       for (std::size_t i = 0; i < boxes_.size(); ++i) {
         Box& b = boxes_[i];
-        if (b.local(now_) >= b.shared_state->next()) b.shared_state->tick(b.local(now_), *b.agent);
+        if (b.local(now_) >= b.shared_state->next_timer()) b.shared_state->tick(b.local(now_), *b.agent);
         flush(i);
       }
     }
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -16,11 +16,11 @@
   if (log.ok() && log->torn_bytes > size) std::abort();
 
   coordination::CoordinationSettings set;
-  set.peers.fleet = "f";
-  set.peers.most_peers = 16;
+  set.membership.fleet = "f";
+  set.membership.most_peers = 16;
   set.self = {"a", "north", "10.0.0.1:1", 1000};
   set.voters = {{"b", 1, "10.0.0.2:1"}};
-  set.wanted = {{"job", ""}};
+  set.jobs = {{"job", ""}};
   // What routers share, likewise: the messages, and a snapshot of counts as a file.
   shared::Settings sharing;
   sharing.hearsay = true;
@@ -50,14 +50,14 @@
   for (core::Micros now = 1000; now < 3 * core::kSecond; now += core::kSecond) {
     agent.receive(now, "10.0.0.2:1", p.SerializeAsString());
     agent.tick(now + 500'000);
-    agent.take();
+    agent.take_datagrams();
     wallet.spend(now, 0, 0);
     wallet.questions(now);
-    for (const auto& w : agent.words()) shared_state.receive(now, agent, w);
+    for (const auto& w : agent.take_notifications()) shared_state.receive(now, agent, w);
     shared_state.tick(now + 500'000, agent);
     if (wallet.held(now, 0) > budget.whole || shared_state.ledger().rows().all().size() > 8) std::abort();
-    agent.events();
+    agent.take_events();
   }
-  if (agent.peers().others().size() > 16) std::abort();
+  if (agent.membership().others().size() > 16) std::abort();
   return 0;
 }
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -205,13 +205,13 @@
   ASSERT_EQ(stored.status().message(), "");
   ASSERT_TRUE(stored.ok());
   coordination::CoordinationSettings settings;
-  settings.peers.fleet = kVoterFleet;
+  settings.membership.fleet = kVoterFleet;
   settings.self = {"r2", "north", "10.0.0.2:7000", 2000};
   coordination::CoordinationProtocol agent(settings, 1);
-  const absl::Status started = agent.vote(*std::move(stored), disk);
+  const absl::Status started = agent.start_voting(*std::move(stored), disk);
   ASSERT_EQ(started.message(), "");
   ASSERT_TRUE(started.ok());
-  const coordination::LeaseTable& table = agent.table();
+  const coordination::LeaseTable& table = agent.lease_table();
   EXPECT_EQ(table.last_number(), 2u);
   ASSERT_EQ(table.jobs_size(), 2);
   EXPECT_EQ(table.jobs(0).name(), "bank");
@@ -226,8 +226,8 @@
   EXPECT_EQ(table.stocks(0).drawn(), 250'000);
   EXPECT_EQ(table.stocks(0).whole(), 1'000'000);
   EXPECT_EQ(table.stocks(0).serial(), 5u);
-  EXPECT_EQ(agent.node()->voters().size(), 3u);
-  EXPECT_EQ(agent.node()->term(), 3u);
+  EXPECT_EQ(agent.raft_node()->voters().size(), 3u);
+  EXPECT_EQ(agent.raft_node()->term(), 3u);
 }
 
 TEST_F(StoredData, VoterRecordIsWrittenAsBefore) {
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -97,7 +97,7 @@
   // Two banks at a time: voters grant the job anew long before its owner's lease is over.
   CHECK(found([&](World& w) {
     tight(w);
-    w.leaders.lease = 100 * core::kMilli;
+    w.leaders.duration = 100 * core::kMilli;
   }));
   CHECK(found([](World& w) { w.aside_again = true; }));
 }
