--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -59,12 +59,16 @@
 // name are empty.
 struct JobNotification {
   enum class Kind {
-    lease_acquired,  // job, number: this router may do the job from now on
-    lease_released,  // job, number: it may not any more
-    effect,  // job, number, effect, sender_address, revision: of another owner, admitted by its fencing token
-    list_requested,  // job, sender_address, revision: a router asks for what came after this revision of the
-                     // list
-    shared_state,    // shared_state, sender, sender_birth, sender_address
+    // This router may do the job from now on (job, number).
+    lease_acquired,
+    // It may not any more (job, number).
+    lease_released,
+    // Another owner's effect, admitted by its fencing token (job, number, effect, sender_address, revision).
+    effect,
+    // A router asks for what came after this revision of the list (job, sender_address, revision).
+    list_requested,
+    // A message about state that routers share (shared_state, sender, sender_birth, sender_address).
+    shared_state,
   };
   Kind kind = Kind::lease_acquired;
   std::string job;
--- a/tests/coordination/shared_endpoint_list_test.cpp
+++ b/tests/coordination/shared_endpoint_list_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include <string>
+#include <utility>
 #include <vector>
 
 namespace flintglade::coordination {
@@ -30,8 +31,8 @@
       applied.emplace_back(text);
       return true;
     };
-    out.publish = [this](Effect effect) { sent.push_back(effect); };
-    out.send = [this](Effect effect, const std::string&) { sent.push_back(effect); };
+    out.publish = [this](Effect effect) { sent.push_back(std::move(effect)); };
+    out.send = [this](Effect effect, const std::string&) { sent.push_back(std::move(effect)); };
     out.request_lines = [this](std::uint32_t revision) { requests.push_back(revision); };
     return out;
   }
