--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -71,7 +71,7 @@
   }
   SharedStateMessage message;
   *message.mutable_ask() = request;
-  const membership::Peer* allocator = protocol.owner(kQuotaAllocatorLease);
+  const membership::Peer* allocator = protocol.find_owner(kQuotaAllocatorLease);
   if (!to_peer && allocator != nullptr) return send(now, protocol, allocator->name, std::move(message));
   counters_.no_allocator += !to_peer;
   const auto members = living_members(protocol);
@@ -93,7 +93,7 @@
     return;
   }
   // To the allocator that handed it out, and to no other: it could be handed out twice.
-  for (const coordination::Job& job : protocol.table().jobs()) {
+  for (const coordination::Job& job : protocol.lease_table().jobs()) {
     if (job.name() != kQuotaAllocatorLease || job.number() != message.bank() || job.owner().empty()) continue;
     SharedStateMessage out;
     *out.mutable_back() = message;
@@ -133,42 +133,46 @@
 
 void SharedState::reject(Protocol& protocol, const std::string& router, const std::string& reason) {
   ++counters_.rejected;
-  protocol.event("shared_state_message_rejected", {{"from", router}, {"why", reason}}, true);
+  protocol.log_event("shared_state_message_rejected", {{"from", router}, {"why", reason}}, true);
 }
 
-void SharedState::receive(Micros now, Protocol& protocol, const Protocol::Word& word) {
-  using What = Protocol::Word::What;
-  if (word.what == What::share) return receive_message(now, protocol, word);
-  if (word.job != kQuotaAllocatorLease) return;
-  if (word.what == What::starts) {
-    quota_allocator_.start(now, word.number);
+void SharedState::receive(Micros now, Protocol& protocol, const coordination::JobNotification& notification) {
+  using Kind = coordination::JobNotification::Kind;
+  if (notification.kind == Kind::shared_state) return receive_message(now, protocol, notification);
+  if (notification.job != kQuotaAllocatorLease) return;
+  if (notification.kind == Kind::lease_acquired) {
+    quota_allocator_.start(now, notification.number);
     next_allocator_run_ = now;
-  } else if (word.what == What::stops) {
+  } else if (notification.kind == Kind::lease_released) {
     quota_allocator_.stop();
     next_allocator_run_ = core::kNever;
   }
 }
 
-void SharedState::receive_message(Micros now, Protocol& protocol, const Protocol::Word& word) {
+void SharedState::receive_message(Micros now, Protocol& protocol,
+                                  const coordination::JobNotification& notification) {
   ++counters_.received;
-  if (word.who.empty() || word.who.size() > kMaxNameBytes || word.who == self_.router || word.birth == 0) {
-    return reject(protocol, word.from, "no name");
+  if (notification.sender.empty() || notification.sender.size() > kMaxNameBytes ||
+      notification.sender == self_.router || notification.sender_birth == 0) {
+    return reject(protocol, notification.sender_address, "no name");
   }
-  const SharedStateMessage& message = word.share;
-  const Micros extra_delay = fleet_clock_.on_packet(now, word.who, word.birth, message.sent_us());
-  fleet_clock_.on_unix_time(now, word.who, message.unix_us() - ports_.unix_time());
+  const SharedStateMessage& message = notification.shared_state;
+  const Micros extra_delay =
+      fleet_clock_.on_packet(now, notification.sender, notification.sender_birth, message.sent_us());
+  fleet_clock_.on_unix_time(now, notification.sender, message.unix_us() - ports_.unix_time());
   switch (message.what_case()) {
     case SharedStateMessage::kAsk:
-      return receive_lease_request(now, protocol, word.who, word.birth, message.ask());
+      return receive_lease_request(now, protocol, notification.sender, notification.sender_birth,
+                                   message.ask());
     case SharedStateMessage::kParcel:
       return ports_.on_lease(message.parcel());
     case SharedStateMessage::kBack:
-      quota_allocator_.take_back(now, word.who, message.back());
+      quota_allocator_.take_back(now, notification.sender, message.back());
       return;
     case SharedStateMessage::kNews:
-      return receive_update(now, protocol, message.news(), extra_delay, word.who);
+      return receive_update(now, protocol, message.news(), extra_delay, notification.sender);
     case SharedStateMessage::kDigest:
-      return receive_digest(now, protocol, message.digest(), word.who);
+      return receive_digest(now, protocol, message.digest(), notification.sender);
     default:  // of a newer version
       return;
   }
@@ -267,26 +271,26 @@
 
 std::vector<const membership::Peer*> SharedState::living_members(const Protocol& protocol) {
   std::vector<const membership::Peer*> members;
-  for (const auto& [name, member] : protocol.peers().others()) {
+  for (const auto& [name, member] : protocol.membership().others()) {
     if (membership::is_living(member.standing)) members.push_back(&member);
   }
   return members;
 }
 
 int SharedState::transmissions(const Protocol& protocol) {
-  const double members = 1.0 + static_cast<double>(protocol.peers().others().size());
+  const double members = 1.0 + static_cast<double>(protocol.membership().others().size());
   return 2 + static_cast<int>(std::log2(members) / 2);
 }
 
 void SharedState::send(Micros now, Protocol& protocol, const std::string& router,
                        SharedStateMessage message) {
-  const auto member = protocol.peers().others().find(router);
-  if (member == protocol.peers().others().end()) return;
+  const auto member = protocol.membership().others().find(router);
+  if (member == protocol.membership().others().end()) return;
   message.set_sent_us(now);
   message.set_unix_us(ports_.unix_time());
   ++counters_.sent;
   counters_.bytes_sent += message.ByteSizeLong();
-  protocol.share(router, member->second.at, message);
+  protocol.send_shared_state(router, member->second.at, message);
 }
 
 void SharedState::send_to_random_member(Micros now, Protocol& protocol,
@@ -359,11 +363,11 @@
 
 void SharedState::run_allocator(Micros now, Protocol& protocol) {
   next_allocator_run_ = quota_allocator_.active() ? now + kAllocatorPeriod : core::kNever;
-  quota_allocator_.on_record(protocol.table());
+  quota_allocator_.on_record(protocol.lease_table());
   if (!is_allocator(now, protocol)) return;
   const Micros fleet_unix_time = ports_.unix_time() + fleet_clock_.median_unix_difference(now);
   for (const coordination::StockDraw& draw : quota_allocator_.due_draws(now, fleet_unix_time)) {
-    protocol.draw(now, draw);
+    protocol.draw_from_stock(now, draw);
   }
 }
 
@@ -381,7 +385,7 @@
   if (now >= next_allocator_run_) run_allocator(now, protocol);
 }
 
-Micros SharedState::next() const {
+Micros SharedState::next_timer() const {
   return std::min({next_gossip_, next_digest_, next_summaries_, next_allocator_run_});
 }
 
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -29,7 +29,7 @@
 
 namespace flintglade::shared {
 
-class SharedState final : public coordination::Companion {
+class SharedState final : public coordination::ProtocolExtension {
  public:
   using Protocol = coordination::CoordinationProtocol;
 
@@ -61,10 +61,10 @@
   std::string snapshot(Micros now) const;
   absl::Status restore(Micros now, std::string_view bytes);
 
-  // ---- coordination::Companion
-  void receive(Micros now, Protocol& protocol, const Protocol::Word& word) override;
+  // ---- coordination::ProtocolExtension
+  void receive(Micros now, Protocol& protocol, const coordination::JobNotification& notification) override;
   void tick(Micros now, Protocol& protocol) override;
-  Micros next() const override;
+  Micros next_timer() const override;
   void status(Micros now, const Protocol& protocol, coordination::Status& out) const override;
 
   const ReplicatedCounter& counter() const { return counter_; }
@@ -74,7 +74,7 @@
   using ObservationRows = VersionedTable<coordination::HealthObservations>;
 
   // ---- received messages
-  void receive_message(Micros now, Protocol& protocol, const Protocol::Word& word);
+  void receive_message(Micros now, Protocol& protocol, const coordination::JobNotification& notification);
   void receive_lease_request(Micros now, Protocol& protocol, const std::string& router, std::uint64_t birth,
                              const coordination::QuotaRequest& request);
   void receive_update(Micros now, Protocol& protocol, const coordination::SharedStateUpdate& update,
@@ -110,7 +110,7 @@
   // How often a new row is passed on, by the fleet's size.
   static int transmissions(const Protocol& protocol);
   bool is_allocator(Micros now, const Protocol& protocol) const {
-    return quota_allocator_.active() && protocol.proved(now, kQuotaAllocatorLease);
+    return quota_allocator_.active() && protocol.has_valid_lease(now, kQuotaAllocatorLease);
   }
 
   Settings settings_;
