--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -13,7 +13,7 @@
 // A replica whose attempts stay for this multiple of the usual time declines keys.
 constexpr double kSlowMultiple = 2.0;
 // The weight of one result in a replica's health. A stream that breaks says more than one error.
-constexpr double kLatencyWeight = 0.35, kErrorWeight = 0.35, kTimeoutWeight = 0.5, kResetWeight = 0.8;
+constexpr double kFirstEventWeight = 0.35, kErrorWeight = 0.35, kTimeoutWeight = 0.5, kResetWeight = 0.8;
 // A first event counts as wholly good up to half of the objective, as a failure from 1.25 of it on.
 constexpr double kFailedLatency = 1.25, kLatencyRange = 0.75;
 // One that rejected an attempt as full is passed over for so long: it may be draining.
@@ -46,10 +46,10 @@
 void OutlierDetection::record_latency(const Request& request, const Attempt& attempt, double now) {
   const double ratio = (now - attempt.sent_at) / request.latency_objective;
   const double quality = std::clamp((kFailedLatency - ratio) / kLatencyRange, 0.0, 1.0);
-  record(attempt.replica_index, quality, kLatencyWeight, now);
+  record(attempt.replica_index, quality, kFirstEventWeight, now);
 }
 
-void OutlierDetection::record_silence(int index, double now) { record(index, 0.0, kLatencyWeight, now); }
+void OutlierDetection::record_silence(int index, double now) { record(index, 0.0, kFirstEventWeight, now); }
 
 void OutlierDetection::record_outcome(int index, Outcome outcome, double now) {
   switch (outcome) {
--- a/src/policy/replica_capacity.cpp
+++ b/src/policy/replica_capacity.cpp
@@ -8,7 +8,7 @@
 namespace flintglade::policy {
 namespace {
 
-constexpr double kUpdateIntervalS = 1.0;
+constexpr double kSizeUpdateIntervalS = 1.0;
 // Rough and live sizes understate how far machines differ: a large one is hardly ever seen without load.
 constexpr double kUnderstatedSizeExponent = 1.6;
 // No kind counts for more than this multiple of the fleet's mean speed, or for less than its inverse.
@@ -42,7 +42,7 @@
 }
 
 void ReplicaCapacity::update_if_old(double now) {
-  if (sized_by_kind() && now - updated_at_ > kUpdateIntervalS) update(now);
+  if (sized_by_kind() && now - updated_at_ > kSizeUpdateIntervalS) update(now);
 }
 
 ReplicaCapacity::Kinds ReplicaCapacity::ready_kinds() {
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMaxDeadlineS = 4000.0;  // from now; longer than any hard limit
-constexpr double kMaxTokens = 1e9;        // of a prompt
+constexpr double kMaxPromptTokens = 1e9;  // of a prompt
 constexpr double kTimerSlackS = 1e-6;     // a timer this early counts as on time
 
 // Whether an attempt with this outcome may have had an effect.
@@ -44,8 +44,8 @@
   const double now = context.now;
   request.received = received;
   request.received.deadline = clamp_finite(received.deadline, now, now + kMaxDeadlineS);
-  request.received.prompt_tokens = clamp_finite(received.prompt_tokens, 0.0, kMaxTokens);
-  request.received.prefix_tokens = clamp_finite(received.prefix_tokens, 0.0, kMaxTokens);
+  request.received.prompt_tokens = clamp_finite(received.prompt_tokens, 0.0, kMaxPromptTokens);
+  request.received.prefix_tokens = clamp_finite(received.prefix_tokens, 0.0, kMaxPromptTokens);
   request.class_index = std::min<std::size_t>(received.request_class, modules_.settings.classes.size() - 1);
   request.arrived_at = now;
   request.latency_objective = latency_objective(class_settings(request), request.received.prompt_tokens);
--- a/src/policy/request_work.cpp
+++ b/src/policy/request_work.cpp
@@ -6,8 +6,9 @@
 namespace flintglade::policy {
 namespace {
 
-constexpr double kMeanWeight = 0.02;               // of one request in the running means
-constexpr double kMinWork = 0.1, kMaxWork = 10.0;  // multiples of the mean: hints may be far off
+constexpr double kMeanWeight = 0.02;  // of one request in the running means
+constexpr double kMinRelativeWork = 0.1,
+                 kMaxRelativeWork = 10.0;  // multiples of the mean: hints may be far off
 constexpr double kMaxHint = 1e9;
 
 }  // namespace
@@ -18,7 +19,7 @@
       clamp_finite(received.hint, 0.0, kMaxHint) > 0.0 ? received.hint : 1.0 + received.prompt_tokens;
   update_mean(learned_.mean_raw_work, raw_work, kMeanWeight);
   update_mean(learned_.mean_prompt_tokens, received.prompt_tokens, kMeanWeight);
-  request.work = std::clamp(raw_work / learned_.mean_raw_work, kMinWork, kMaxWork);
+  request.work = std::clamp(raw_work / learned_.mean_raw_work, kMinRelativeWork, kMaxRelativeWork);
   if (!received.is_retry) learned_.arrived_work.add(now, window_s_, request.work);
 }
 
--- a/tests/policy/replica_capacity_test.cpp
+++ b/tests/policy/replica_capacity_test.cpp
@@ -99,7 +99,8 @@
       router.respond(id, 0, Outcome::ok, true, cached);
     }
     const auto at = placements(router, 400);
-    return std::count_if(at.begin(), at.end(), [&](ReplicaId id) { return kind(id) == 1; }) / 400.0;
+    const auto slow = std::count_if(at.begin(), at.end(), [&](ReplicaId id) { return kind(id) == 1; });
+    return static_cast<double>(slow) / 400.0;
   };
   EXPECT_GT(share_of_slow(0, 9e-5), 0.6);   // only the listed sizes are known
   EXPECT_LT(share_of_slow(24, 9e-5), 0.4);  // reads at a third of the others' speed, streams as long
