--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -1,8 +1,9 @@
-// A recording of what the state machines of a fleet do: whole simulated fleets (coordination::CoordinationProtocol,
-// coordination::RaftNode, membership::Swim, shared::SharedState, over tests/fleet/sim.h), the merge of endpoint
-// sources (endpoint_sources::Membership) and what is heard of replicas (shared::Witness, shared::Caution),
-// each fed with a fixed stream of events. Recorded is a hash of all that comes out: each datagram with its
-// time, and each word to a router's jobs; of the others, each answer that they give.
+// A recording of what the state machines of a fleet do: whole simulated fleets
+// (coordination::CoordinationProtocol, coordination::RaftNode, membership::Swim, shared::SharedState, over
+// tests/fleet/sim.h), the merge of endpoint sources (endpoint_sources::Membership) and what is heard of
+// replicas (shared::Witness, shared::Caution), each fed with a fixed stream of events. Recorded is a hash of
+// all that comes out: each datagram with its time, and each word to a router's jobs; of the others, each
+// answer that they give.
 //
 // The values were recorded on the commit before the refactoring for readability. A value may be changed only
 // in a commit that changes behaviour and means to; its message says which and why.
