--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -116,8 +116,8 @@
   const RunningAttempt running = context_.requests.find_running(id);
   if (!running || running.attempt->held || running.request->streams(id)) return;
   running.attempt->stopped = true;
-  // The connection goes now. The module is told the outcome in the next iteration, since it must not be
-  // called while its actions are executed.
+  // The connection goes now. The module is notified in the next iteration, since it must not be called while
+  // its actions are executed.
   context_.replica_client(*running.request).cancel_attempt(id);
   context_.events.emplace_back(AttemptEnded{id, Outcome::cancelled, 0, {}});
 }
--- a/src/core/attempt_handler.h
+++ b/src/core/attempt_handler.h
@@ -1,6 +1,6 @@
 // Attempts: started and stopped for the decision module, and what becomes of them. Every attempt that the
-// module has asked for gets exactly one outcome, which the module is told, whatever became of its request. On
-// the core's thread only.
+// module has asked for gets exactly one outcome, of which the module is notified, whatever became of its
+// request. On the core's thread only.
 #pragma once
 
 #include <cstdint>
--- a/src/core/broker_settings.h
+++ b/src/core/broker_settings.h
@@ -1,4 +1,4 @@
-// What the core is told by the configuration: time limits (microseconds) and the budget for request bodies.
+// Settings of the core: time limits (microseconds) and the budget for request bodies.
 #pragma once
 
 #include <algorithm>
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -1,11 +1,11 @@
 // The replicas that the endpoint list names, by id, and since when each that drains or is gone has been known
 // to (its retirement). On the core's thread only; times in microseconds.
 //
-// A list can be stale: service discovery that has moved may give a full list that is older than the news of a
-// drain. Believed, it would send new work to a replica that is about to stop. So an entry of an older list
-// that calls a retired replica ready is put aside, and is believed only when no list can be that old any more
-// (BrokerSettings::list_lag after the retirement): another discovery service may count versions otherwise. A
-// replica that has been started again since is a new process, and is believed at once.
+// A list can be stale: service discovery that has moved may give a full list that is older than the update
+// that announced a drain. Believed, it would send new work to a replica that is about to stop. So an entry of
+// an older list that calls a retired replica ready is put aside, and is believed only when no list can be
+// that old any more (BrokerSettings::list_lag after the retirement): another discovery service may count
+// versions otherwise. A replica that has been started again since is a new process, and is believed at once.
 #pragma once
 
 #include <cstddef>
--- a/src/core/request_handler.cpp
+++ b/src/core/request_handler.cpp
@@ -8,7 +8,7 @@
 
 using QuotaStatus = SharedStatePort::QuotaStatus;
 
-// What a client is told that is rejected for lack of memory, or because this process is about to end.
+// Retry-After of a request that is rejected for lack of memory, or because this process is about to end.
 constexpr Micros kRetryAfterUnseen = kSecond;
 
 policy::QuotaStatus to_module(QuotaStatus status) {
@@ -90,7 +90,7 @@
   responder_.close(*state);
   context_.module.on_client_disconnected(context_.now_seconds(), event.request, context_.actions);
   // Also the attempt whose answer streams, which the module may not cancel. Its replica may work on; the
-  // module is told its outcome all the same.
+  // module is notified of its outcome all the same.
   attempts_.cancel_all(event.request, static_cast<std::uint32_t>(state->attempts.size()));
   context_.requests.mark_if_finished(event.request, *state);
 }
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -21,7 +21,7 @@
 struct AttemptState {
   ReplicaId replica = 0;
   Micros started_at = 0;
-  bool running = true;   // the module has not been told its outcome
+  bool running = true;   // the module has not been notified of its outcome
   bool stopped = false;  // cancelled; its outcome is gathered, or held
   bool held = false;     // cancelled by its client; counts as its replica's work until the hold expires
 };
