--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -40,7 +40,7 @@
     families.push_back({name, help, type, {std::move(value)}});
   };
   one("app_tries", "Attempts written whole to model replicas.", MetricType::Counter,
-      counted(f.counters->written));
+      counted(f.counters->attempts_written));
   one("app_active", "Requests taken and not yet ended.", MetricType::Gauge, gauged(f.active));
   one("app_pool_size", "Model replicas in the list.", MetricType::Gauge, gauged(f.pool_size));
   one("app_pool_ejected", "Listed model replicas that the router now avoids.", MetricType::Gauge,
--- a/src/commands/fleet_member.cpp
+++ b/src/commands/fleet_member.cpp
@@ -85,7 +85,9 @@
     member_.effect(std::move(e), site_, to);
   };
   ports.want = [this](std::uint32_t rev) { member_.want(job_, rev); };
-  ports.changed = [](const char* state) { log::event(log::Level::info, "list_read", {{"as", state}}); };
+  ports.changed = [](const char* state) {
+    log::event(log::Level::info, "endpoint_list_reader", {{"as", state}});
+  };
   shared_.emplace(clock, set, std::move(ports),
                   config::host_port(config.discovery.host, config.discovery.port), config.seed);
   watch_.on_line([this](std::uint32_t after, std::uint32_t rev, std::string_view text) {
--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -45,7 +45,8 @@
                                  stream_migration_.in(bytes, descriptors);
                                });
   if (!why.empty())
-    log::event(Level::warn, "no_passage", {{"why", why}, {"answers", "end where they began"}});
+    log::event(Level::warn, "stream_migration_unavailable",
+               {{"why", why}, {"answers", "end where they began"}});
   if (process_slots_.changes() < 0) return;
   changes_.assign(::dup(process_slots_.changes()));
   watch();
@@ -79,7 +80,7 @@
 void HotRestartCoordinator::leave_state() {
   snapshot_file_.save(hot_restart::encode_snapshot(broker_.snapshot(), origin_, clock_.now()),
                       [](const std::string& why) {
-                        if (!why.empty()) log::event(Level::warn, "state_not_left", {{"why", why}});
+                        if (!why.empty()) log::event(Level::warn, "snapshot_write_failed", {{"why", why}});
                       });
 }
 
@@ -90,8 +91,8 @@
     bool same_list = false;
     const std::string why = hot_restart::decode_snapshot(bytes, origin_, clock_.now(), state, same_list);
     if (why == hot_restart::kWriterNotOlder) return;
-    if (!why.empty()) return log::event(Level::warn, "state_refused", {{"why", why}});
-    log::event(Level::info, "state_taken",
+    if (!why.empty()) return log::event(Level::warn, "snapshot_rejected", {{"why", why}});
+    log::event(Level::info, "snapshot_restored",
                {{"bytes", bytes.size()},
                 {"list", state.version},
                 {"replicas", state.learned.replicas.size()},
@@ -106,10 +107,11 @@
     if (o.stage == Stage::serving) successor_ = o.seat;
   }
   if (!successor_) {
-    log::event(Level::info, "no_heir", {{"others", process_slots_.others().size()}, {"answers", "end here"}});
+    log::event(Level::info, "successor_not_found",
+               {{"others", process_slots_.others().size()}, {"answers", "end here"}});
     return false;
   }
-  log::event(Level::info, "heir", {{"seat", *successor_}});
+  log::event(Level::info, "successor_selected", {{"slot", *successor_}});
   leave_state();
   keep_moving();
   return true;
@@ -127,7 +129,7 @@
   stream_migration_.out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
     const DescriptorPassing::Sent sent = DescriptorPassing::send(folder_, *successor_, bytes, descriptors);
     if (sent == DescriptorPassing::Sent::never) {
-      log::event(Level::warn, "heir_lost", {{"seat", *successor_}, {"answers", "end here"}});
+      log::event(Level::warn, "successor_lost", {{"slot", *successor_}, {"answers", "end here"}});
       successor_.reset();
     }
     return sent == DescriptorPassing::Sent::yes;
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -82,16 +82,17 @@
 // One debug line an RPC's coming, refusal, failure or its client's going, a call attempt's start, first event
 // and end, and a list.
 void write_trace(const core::Trace& t) {
-  static constexpr std::array<const char*, 8> kNames = {"call",   "call_ended", "first_event", "unavailable",
-                                                        "failed", "list",       "arrived",     "client_gone"};
+  static constexpr std::array<const char*, 8> kNames = {
+      "attempt_started", "attempt_ended",        "first_event",      "request_rejected",
+      "request_failed",  "endpoint_list_update", "request_received", "client_disconnected"};
   const char* name = kNames[static_cast<std::size_t>(t.what)];
   if (t.what == core::Trace::What::list) {
     log::event(Level::debug, name, {{"kind", t.detail}, {"entries", t.count}});
   } else if (t.what == core::Trace::What::arrived) {
-    log::event(Level::debug, name, {{"rpc", t.rpc}, {"id", t.detail}});
+    log::event(Level::debug, name, {{"request", t.rpc}, {"id", t.detail}});
   } else if (t.what == core::Trace::What::ended) {
     log::event(Level::debug, name,
-               {{"rpc", t.rpc},
+               {{"request", t.rpc},
                 {"attempt", t.attempt},
                 {"replica", t.replica},
                 {"kind", t.kind},
@@ -101,7 +102,7 @@
                 {"kept", t.kept}});
   } else {
     log::event(Level::debug, name,
-               {{"rpc", t.rpc},
+               {{"request", t.rpc},
                 {"attempt", t.attempt},
                 {"replica", t.replica},
                 {"outcome", t.detail},
@@ -173,7 +174,8 @@
   hot_restart::ProcessSlots seats;
   if (config.accept_fd >= 0) {
     const std::string why = seats.join(config.scratch, config.name);
-    if (!why.empty()) log::event(Level::warn, "no_seat", {{"why", why}, {"limits", "as if alone"}});
+    if (!why.empty())
+      log::event(Level::warn, "process_slot_unavailable", {{"why", why}, {"limits", "as if alone"}});
   }
   const auto use = [&] {
     hot_restart::Use out{hot_restart::Stage::starting, reserved, 0};
@@ -328,7 +330,7 @@
   if (!options.replay.empty()) {
     error = replay.open(options.replay, options.record, labels(config));
     if (!error.empty()) return diagnose(error);
-    log::event(Level::info, "replaying",
+    log::event(Level::info, "replay_started",
                {{"requests", replay.source().requests.size()},
                 {"packets", replay.source().packets},
                 {"skipped", replay.source().skipped},
@@ -343,11 +345,11 @@
     std::vector<log::Field> fields{{"phase", core::to_string(broker.phase())}};
     for (const auto& [name, value] : broker.counters().list()) fields.emplace_back(name, value);
     if (grpc_front) {
-      fields.emplace_back("kserve_open_calls", grpc_front->open_calls());
-      fields.emplace_back("kserve_streams_refused", grpc_front->counters().streams_refused);
-      fields.emplace_back("kserve_silent_calls", grpc_front->counters().silent_calls);
+      fields.emplace_back("kserve_open_streams", grpc_front->open_calls());
+      fields.emplace_back("kserve_streams_rejected", grpc_front->counters().streams_refused);
+      fields.emplace_back("kserve_silent_streams", grpc_front->counters().silent_calls);
       fields.emplace_back("kserve_connections", grpc_front->connections().open());
-      fields.emplace_back("kserve_connections_refused", grpc_front->connections().refused());
+      fields.emplace_back("kserve_connections_rejected", grpc_front->connections().refused());
       fields.emplace_back("kserve_descriptions_asked", grpc_front->counters().descriptions_asked);
       fields.emplace_back("kserve_descriptions_failed", grpc_front->counters().descriptions_failed);
       fields.emplace_back("kserve_denied", grpc_front->counters().denied);
@@ -359,8 +361,8 @@
       fields.emplace_back(refused, keys->counters().refused);
       fields.emplace_back(expires, keys->expires_in_s());
     };
-    add_keys(front_keys.get(), "tls_front_taken", "tls_front_refused", "tls_front_expires_in_s");
-    add_keys(replica_keys.get(), "tls_replica_taken", "tls_replica_refused", "tls_replica_expires_in_s");
+    add_keys(front_keys.get(), "tls_server_loaded", "tls_server_rejected", "tls_server_expires_in_s");
+    add_keys(replica_keys.get(), "tls_replica_loaded", "tls_replica_rejected", "tls_replica_expires_in_s");
     std::vector<std::pair<std::string, std::uint64_t>> of_sources;
     if (sources) of_sources = sources->counters();
     for (const auto& [name, value] : of_sources) fields.emplace_back(name, value);
@@ -384,7 +386,7 @@
     if (wrong.empty()) wrong = read_keys(fresh_file.kserve(), fresh_front, fresh_replica, keys);
     if (!wrong.empty()) {
       broker.reload_refused();
-      log::event(Level::warn, "reload_refused", {{"why", wrong}, {"in_force", "the old configuration"}});
+      log::event(Level::warn, "reload_rejected", {{"why", wrong}, {"in_force", "the old configuration"}});
       return;
     }
     broker.reload(core::write_grace(fresh.drain_grace), fresh.answer_grace,
@@ -428,7 +430,7 @@
     } else if (signal == SIGHUP) {
       reload();
     } else {
-      log::event(Level::info, "draining", {{"open", broker.requests_in_flight()}});
+      log::event(Level::info, "drain_started", {{"open", broker.requests_in_flight()}});
       if (fleet_member) fleet_member->leave();
       const bool followed = handoff && handoff->hand_over();
       broker.drain(followed);
--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -118,14 +118,15 @@
                               ? "it is too large"
                               : shared_state_->restore(coordination::CoordinationRuntime::now(), bytes);
   if (!why.empty())
-    log::event(Level::warn, "counts_refused", {{"file", snapshot_}, {"why", why}, {"starts", "without"}});
+    log::event(Level::warn, "shared_counters_rejected",
+               {{"file", snapshot_}, {"why", why}, {"starts", "without"}});
 }
 
 void SharedStateBridge::start(coordination::CoordinationRuntime& member, core::Broker& core) {
   member_ = &member;
   core_ = &core;
   for (const std::string& team : unknown_)
-    log::event(Level::warn, "budget_of_nobody",
+    log::event(Level::warn, "quota_without_tenant",
                {{"team", team}, {"why", "the settings name no such tenant"}});
   look();
 }
@@ -215,7 +216,7 @@
       good = out.good();
     }
     if (!good || std::rename(draft.c_str(), path.c_str()) != 0)
-      log::event(Level::warn, "counts_not_saved", {{"file", path}});
+      log::event(Level::warn, "shared_counters_save_failed", {{"file", path}});
   });
 }
 
@@ -250,7 +251,7 @@
     core_->on_health_warning(w.replica, w.span);
     avoided.insert(w.replica);
     if (avoided_.count(w.replica) == 0)
-      log::event(Level::info, "avoids_by_hearsay", {{"replica", w.replica}, {"for_us", w.span}});
+      log::event(Level::info, "replica_avoided_by_gossip", {{"replica", w.replica}, {"for_us", w.span}});
   }
   avoided_ = std::move(avoided);
 }
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -40,9 +40,9 @@
         for (const HeldLease& h : applied.renewed) lease_manager_.renewed(now_, command.renew().owner(), h);
         if (command.has_grant() && applied.changed) {
           lease_manager_.granted(now_, applied.job);
-          event("job_granted", {{"job", applied.job},
-                                {"number", std::to_string(node_->jobs().table().last_number())},
-                                {"to", command.grant().owner()}});
+          event("lease_granted", {{"job", applied.job},
+                                  {"number", std::to_string(node_->jobs().table().last_number())},
+                                  {"to", command.grant().owner()}});
         }
         if (!applied.changed || !node_->leads()) return;
         const Job* job = node_->jobs().find(applied.job);
@@ -83,24 +83,26 @@
 // What follows from the new state of all parts, in one order.
 void CoordinationProtocol::settle(Micros now) {
   for (const membership::Peer& p : swim_.changed()) {
-    static constexpr const char* kNames[] = {"peer_alive", "peer_suspect", "peer_dead", "peer_left"};
+    static constexpr const char* kNames[] = {"member_alive", "member_suspected", "member_dead",
+                                             "member_left"};
     event(kNames[p.standing],
           {{"peer", p.name}, {"at", p.at}, {"site", p.site}, {"incarnation", std::to_string(p.incarnation)}});
   }
   if (swim_.displaced() && !displaced_) {
     displaced_ = true;
-    event("displaced", {{"name", settings_.self.name}, {"by", "a process of this name that began later"}},
-          true);
+    event("displaced_by_newer_process",
+          {{"name", settings_.self.name}, {"by", "a process of this name that began later"}}, true);
     lease_holder_.record({}, 0);
   }
   if (node_ && node_->halted() && !halted_told_) {
     halted_told_ = true;
-    event("voter_halted", {{"why", node_->why_halted()}, {"votes", "no more, until the next start"}}, true);
+    event("raft_node_halted", {{"why", node_->why_halted()}, {"votes", "no more, until the next start"}},
+          true);
   }
   const bool leads = node_ && node_->leads();
   if (leads != led_) {
     led_ = leads;
-    event(leads ? "leads" : "leads_no_more", {{"term", std::to_string(node_->term())}});
+    event(leads ? "leadership_acquired" : "leadership_lost", {{"term", std::to_string(node_->term())}});
     if (leads) {
       lease_manager_.leads(now);
       // What the terms before have left is committed by a first entry of this one.
@@ -122,11 +124,11 @@
   }
   if (!leader_at_.empty()) {
     leader_since_ = now;
-    if (!had_leader_) event("fleet_led", {{"by", leader_at_}});
+    if (!had_leader_) event("leader_known", {{"by", leader_at_}});
     had_leader_ = true;
   } else if (had_leader_ && now - leader_since_ > kLeaderless) {
     had_leader_ = false;
-    event("fleet_unled", {{"jobs", "rest"}, {"routers", "each do for themselves"}}, true);
+    event("leader_unknown", {{"jobs", "rest"}, {"routers", "each do for themselves"}}, true);
   }
   if (displaced_) return;
   if ((!votes()) && now >= next_read_ && !voters_.empty() && leaving_ < 0) {
@@ -150,7 +152,7 @@
     ask(now, c);
   }
   for (const LeaseHolder::Change& c : lease_holder_.changes(now)) {
-    event(c.starts ? "job_starts" : "job_stops",
+    event(c.starts ? "lease_acquired" : "lease_released",
           c.starts ? std::vector<std::pair<std::string, std::string>>{{"job", c.job},
                                                                       {"number", std::to_string(c.number)}}
                    : std::vector<std::pair<std::string, std::string>>{
@@ -162,7 +164,7 @@
   // renew anything until the others have missed it and held an election.
   if (leaving_ >= 0 && !handing_ && node_ && node_->leads() && free_of_jobs()) {
     handing_ = node_->hand_over(now);
-    if (handing_) event("lead_handed_over", {{"term", std::to_string(node_->term())}});
+    if (handing_) event("leadership_transferred", {{"term", std::to_string(node_->term())}});
   }
   std::erase_if(asked_, [now](const auto& a) { return now - a.second.sent > kForgetAsked; });
 }
@@ -341,7 +343,7 @@
       const Effect& e = p.effect();
       const std::uint64_t seen = fence_.seen(e.job());
       if (!fence_.admit(e.job(), e.number())) {
-        event("effect_refused",
+        event("stale_fencing_token",
               {{"job", e.job()},
                {"number", std::to_string(e.number())},
                {"seen", std::to_string(seen)},
@@ -350,7 +352,8 @@
         break;
       }
       if (seen != e.number())
-        event("effect_of", {{"job", e.job()}, {"number", std::to_string(e.number())}, {"from", p.from()}});
+        event("lease_effect_applied",
+              {{"job", e.job()}, {"number", std::to_string(e.number())}, {"from", p.from()}});
       ++effects_taken_;
       if (words_.size() < kMostWords)
         words_.push_back({Word::What::effect, e.job(), e.number(), e, from, e.rev(), {}, "", 0});
--- a/src/coordination/coordination_runtime.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -80,7 +80,7 @@
   if (ec) {
     if (!std::exchange(told_, true))
       log::event(
-          Level::warn, "fleet_waits",
+          Level::warn, "coordination_socket_unavailable",
           {{"at", config::host_port(settings_.listen.host, settings_.listen.port)}, {"why", ec.message()}});
     error_code ignored;
     socket_.close(ignored);
@@ -97,9 +97,10 @@
   if (settings_.voter_id != 0) {
     const std::string why = vote();
     if (why.empty()) {
-      log::event(Level::info, "votes", {{"id", settings_.voter_id}, {"directory", settings_.directory}});
+      log::event(Level::info, "raft_node_started",
+                 {{"id", settings_.voter_id}, {"directory", settings_.directory}});
     } else {
-      log::event(Level::warn, "votes_not", {{"id", settings_.voter_id}, {"why", why}});
+      log::event(Level::warn, "raft_node_start_failed", {{"id", settings_.voter_id}, {"why", why}});
     }
   }
   log::event(Level::info, "listening",
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -118,7 +118,7 @@
 
 void Broker::adopt(ProcessSnapshot from, bool same_list) {
   now_ = clock_.now();
-  ++counters_.adopted;
+  ++counters_.snapshots_restored;
   const bool ours = same_list ? from.version <= version_ : listed_;
   heard_ = listed_ = true;
   for (const ProcessSnapshot::RetiredReplica& word : from.retired) {
@@ -177,7 +177,7 @@
   Rpc* rpc = nullptr;
   AttemptState* call = find_out(r.call, rpc);
   if (call == nullptr || rpc->over()) return;
-  ++counters_.migrated_out;
+  ++counters_.streams_migrated_out;
   call->out = false;
   close(*rpc);
   module_.on_client_disconnected(to_seconds(now_), r.id, *this);
@@ -203,7 +203,7 @@
   rpc.bound = 0;
   rpc.calls.push_back({r.replica, r.came, true, false});
   ++open_;
-  ++counters_.migrated_in;
+  ++counters_.streams_migrated_in;
   wake(r.last_event + settings_.stall_timeout, StallCheck{{id, 0}});
   return id;
 }
@@ -306,22 +306,22 @@
 // ------------------------------------------------------------------------------------------
 
 void Broker::take(Arrived& e) {
-  ++counters_.rpcs;
+  ++counters_.requests;
   if (trace_) trace_({Trace::What::arrived, e.id, 0, 0, e.request->trace_id});
-  counters_.retries += e.request->is_retry;
-  counters_.resumed += e.request->resumed;
+  counters_.client_retries += e.request->is_retry;
+  counters_.requests_resumed += e.request->resumed;
   // The bodies of waiting RPCs are the router's largest use of memory; past the budget a new one is refused
   // on the spot, rather than the process be killed with all it holds. So is one that comes on a connection
   // kept for long into a drain: it could be open still when the process is killed, and would be lost.
   const bool too_late = !accepts_requests();
   if (too_late || body_bytes_ + e.request->bytes() > settings_.body_budget) {
-    ++(too_late ? counters_.unavailable : counters_.overloaded);
+    ++(too_late ? counters_.requests_rejected : counters_.requests_shed);
     return refuse_unseen(e, kSecond);
   }
   SharedStatePort::QuotaDecision quota;
   if (shared_state_ != nullptr) quota = shared_state_->check_quota(now_, *e.request);
   if (quota.status == SharedStatePort::QuotaStatus::refused) {
-    ++counters_.over_budget;
+    ++counters_.requests_over_quota;
     return refuse_unseen(e, quota.retry_after);
   }
   Rpc& rpc = rpcs_[e.id];
@@ -366,7 +366,7 @@
 void Broker::take(Gone& e) {
   Rpc* rpc = find(e.id);
   if (rpc == nullptr || rpc->over()) return;
-  ++counters_.gone;
+  ++counters_.clients_disconnected;
   if (trace_) trace_({Trace::What::gone, e.id, 0, 0, "", now_ - rpc->came});
   close(*rpc);
   module_.on_client_disconnected(to_seconds(now_), e.id, *this);
@@ -390,8 +390,8 @@
   AttemptState* call = find_out(e.id, rpc);
   if (call == nullptr) return;
   if (!rpc->over() && rpc->bound < 0) {
-    ++counters_.failed;
-    ++counters_.rejected;
+    ++counters_.requests_failed;
+    ++counters_.requests_invalid;
     close(*rpc, &Answers::failed)->fail(Failure::rejected);
     module_.on_client_disconnected(to_seconds(now_), e.id.rpc, *this);
   }
@@ -530,7 +530,7 @@
       return wake(now_ + settings_.stall_timeout - quiet, StallCheck{s->id});
     // A machine that vanished in the middle of an answer says nothing, and TCP does not notice. The client is
     // better off with a broken stream, whose rest it can ask for, than with a silent one.
-    ++counters_.stalled;
+    ++counters_.streams_stalled;
     cancel_call(s->id, *rpc, *call, Outcome::reset);
   } else if (const auto* h = std::get_if<HoldEnd>(&alarm.what)) {
     Rpc* rpc = nullptr;
@@ -554,8 +554,8 @@
 void Broker::give_up(RequestId id) {
   Rpc* rpc = find(id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
-  ++counters_.overdue;
-  ++counters_.failed;
+  ++counters_.requests_overdue;
+  ++counters_.requests_failed;
   if (trace_) trace_({Trace::What::failed, id, 0, 0, "overdue", now_ - rpc->came});
   close(*rpc, &Answers::failed)->fail(now_ >= rpc->deadline ? Failure::deadline : Failure::error);
   module_.on_client_disconnected(to_seconds(now_), id, *this);
@@ -619,7 +619,7 @@
 void Broker::hold(AttemptId id, Rpc& rpc, AttemptState& call) {
   replica_client(rpc).cancel_attempt(id);
   call.stopped = call.held = true;
-  ++counters_.held;
+  ++counters_.attempts_held;
   if (!rpc.request->body.empty()) {
     const auto bare = std::make_shared<Request>();
     bare->wire = rpc.request->wire;
@@ -648,10 +648,10 @@
     trace_({Trace::What::ended, id.rpc, id.attempt, call.replica, kOutcomes[which], now_ - call.sent, 0, kept,
             replicas_[call.replica].replica.kind, replicas_[call.replica].replica.zone});
   if (!rpc.over() && outcome == Outcome::ok && bound) {
-    ++counters_.served;
+    ++counters_.requests_served;
     close(rpc, &Answers::served)->finish();
   } else if (!rpc.over() && bound) {
-    ++counters_.broken;
+    ++counters_.streams_broken;
     close(rpc, &Answers::failed)->abort_stream();
   }
   policy::AttemptResult r;
@@ -689,8 +689,8 @@
   if (rpc->over() || rpc->bound >= 0 || now_ >= rpc->deadline) {
     return on_attempt_ended(id, Outcome::moot);  // never sent; the module learns it in the next turn
   }
-  ++counters_.calls;
-  if (id.attempt > 0) ++counters_.second_calls;
+  ++counters_.attempts;
+  if (id.attempt > 0) ++counters_.further_attempts;
   if (trace_) trace_({Trace::What::call, a.id, id.attempt, a.replica, "", now_ - rpc->came});
   const Micros left = rpc->deadline - now_;
   const Micros allowed = a.allow_for == 0.0 ? left : std::min(left, to_micros(a.allow_for));
@@ -701,7 +701,7 @@
 void Broker::carry_out(const Reject& a) {
   Rpc* rpc = find(a.id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
-  ++counters_.unavailable;
+  ++counters_.requests_rejected;
   if (trace_) trace_({Trace::What::unavailable, a.id, 0, 0, "", now_ - rpc->came});
   close(*rpc, &Answers::refused)->reject(to_micros(a.not_before_for), now_ >= rpc->deadline);
   drop_if_done(a.id, *rpc);
@@ -710,7 +710,7 @@
 void Broker::carry_out(const Fail& a) {
   Rpc* rpc = find(a.id);
   if (rpc == nullptr || rpc->over() || rpc->bound >= 0) return;
-  ++counters_.failed;
+  ++counters_.requests_failed;
   if (trace_) trace_({Trace::What::failed, a.id, 0, 0, "", now_ - rpc->came});
   close(*rpc, &Answers::failed)->fail(now_ >= rpc->deadline ? Failure::deadline : Failure::error);
   drop_if_done(a.id, *rpc);
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -59,7 +59,7 @@
   RequestId on_request(std::shared_ptr<const Request> rpc, std::shared_ptr<ResponseWriter> response_writer);
   // A front had no room for an RPC of this class, and has refused it.
   void on_request_shed(std::uint32_t request_class) {
-    ++counters_.overloaded;
+    ++counters_.requests_shed;
     count(request_class).refused++;
   }
   void on_client_disconnected(RequestId id);
@@ -67,8 +67,10 @@
   void on_attempt_events(AttemptId id, std::string events);  // whole events; the first ones bind the attempt
   void on_attempt_ended(AttemptId id, policy::Outcome outcome, std::uint32_t kept = 0,
                         std::vector<float> report = {});
-  void on_attempt_rejected(AttemptId id);             // the replica cannot use the request, nor could another
-  void on_attempt_written() { ++counters_.written; }  // the last byte of an attempt is written; once each
+  void on_attempt_rejected(AttemptId id);  // the replica cannot use the request, nor could another
+  void on_attempt_written() {
+    ++counters_.attempts_written;
+  }  // the last byte of an attempt is written; once each
   void on_endpoint_list_update(EndpointListUpdate news);
 
   // ---- between processes of one router ----
@@ -118,7 +120,7 @@
   std::string not_ready_reason() const;  // in a few words, while the phase is starting
   void reload(Micros drain_grace, Micros answer_grace,
               Micros cancel_hold = 0);  // for what happens from now on
-  void reload_refused() { ++counters_.reloads_refused; }
+  void reload_refused() { ++counters_.reloads_rejected; }
   // SIGTERM: finish what is here, and what still comes, then stop. followed: another process serves, and
   // answers move there once they have begun; so requests that are half read by now can be waited for.
   void drain(bool followed = false);
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -112,7 +112,7 @@
 
   void fail(std::string why) {
     if (owner_ == nullptr) return;
-    log::event(log::Level::warn, "list_failed",
+    log::event(log::Level::warn, "endpoint_list_failed",
                {{"at", config::host_port(owner_->at_.host, owner_->at_.port)}, {"why", why}});
     owner_->last_error_ = std::move(why);
     Watch* owner = owner_;
@@ -136,11 +136,11 @@
   boots_.put_right(clock_.now(), news);
   if (news.kind == policy::ListKind::delta && have_list_ && news.version < version_) {
     // Late or repeated: what it tells has been overtaken by what is held.
-    log::event(log::Level::warn, "list_out_of_order", {{"rev", news.version}, {"held", version_}});
+    log::event(log::Level::warn, "endpoint_list_out_of_order", {{"rev", news.version}, {"held", version_}});
     return true;
   }
   if (!news.unreadable.empty())
-    log::event(log::Level::warn, "list_entries_unreadable",
+    log::event(log::Level::warn, "endpoint_entries_unreadable",
                {{"entries", news.unreadable.size()}, {"in_force", "what was held of them"}});
   version_ = news.version;
   last_was_whole_ = news.kind != policy::ListKind::delta;
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -170,7 +170,7 @@
     std::string& before = logged_states_[s.name];
     if (before == s.state) continue;
     const bool bad = s.state == std::string_view("failing") || s.state == std::string_view("lapsed");
-    log::event(bad ? Level::warn : Level::info, "source",
+    log::event(bad ? Level::warn : Level::info, "endpoint_source_state",
                {{"name", s.name}, {"state", s.state}, {"names", s.names}, {"error", s.error}});
     before = s.state;
   }
@@ -182,7 +182,7 @@
     if (!fresh && it->second == now) continue;
     it->second = now;
     if (++changed > kMostLogged) continue;
-    log::event(Level::info, "replica",
+    log::event(Level::info, "endpoint_state",
                {{"address", address},
                 {"takes", now.first == Health::ready ? "new requests" : "nothing new"},
                 {"clause", static_cast<int>(v.clause)},
@@ -190,7 +190,7 @@
                 {"source", v.source}});
   }
   if (changed > kMostLogged)
-    log::event(Level::info, "replicas", {{"changed", changed}, {"held", verdicts.size()}});
+    log::event(Level::info, "endpoints_changed", {{"changed", changed}, {"held", verdicts.size()}});
   if (logged_.size() > verdicts.size())
     std::erase_if(logged_, [&](const auto& l) { return verdicts.count(l.first) == 0; });
 }
--- a/src/kserve/replica_client.cpp
+++ b/src/kserve/replica_client.cpp
@@ -166,7 +166,7 @@
       outcome = Outcome::reset;
     }
     if (!status.ok())
-      log::event(log::Level::debug, "call_failed",
+      log::event(log::Level::debug, "attempt_failed",
                  {{"status", static_cast<int>(status.error_code())},
                   {"began", began_},
                   {"why", status.error_message()}});
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -103,7 +103,7 @@
 void SharedState::absurd(coordination::CoordinationProtocol& agent, const std::string& from,
                          const std::string& what) {
   ++counters_.absurd;
-  agent.event("share_refused", {{"from", from}, {"why", what}}, true);
+  agent.event("shared_state_message_rejected", {{"from", from}, {"why", what}}, true);
 }
 
 // How much longer than the quickest one of this life this packet was on its way.
--- a/src/tls/certificate_provider.cpp
+++ b/src/tls/certificate_provider.cpp
@@ -75,7 +75,7 @@
       told_wrong_ = false;
     } else if (!std::exchange(told_wrong_, true)) {
       ++counters_.refused;
-      log::event(log::Level::warn, "tls_refused",
+      log::event(log::Level::warn, "certificate_rejected",
                  {{"of", name_}, {"why", error}, {"in_force", "what was read before"}});
     }
   }
@@ -92,7 +92,7 @@
   }
   ++generation_;
   ++counters_.taken;
-  log::event(has && left < kSoon ? log::Level::warn : log::Level::info, "tls_in_force",
+  log::event(has && left < kSoon ? log::Level::warn : log::Level::info, "certificate_loaded",
              {{"of", name_}, {"generation", generation_.load()}, {"days_left", has ? left / kDay : -1}});
   if (told_) told_();
 }
