--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -64,7 +64,7 @@
   connect_failed = 4,  // the connection could not be made; it never ran
   reset = 5,           // the connection broke
   cancelled = 6,       // stopped by this router
-  moot = 7,            // not for this Balancer to judge: never sent, or its stream migrated
+  inconclusive = 7,    // not for this Balancer to judge: never sent, or its stream migrated
 };
 
 // The settings of a request class.
--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -94,7 +94,7 @@
   const Micros left = request->deadline - context_.now;
   if (request->closed() || request->streaming() || left <= 0) {
     // Never sent; the module learns it in the next iteration.
-    context_.events.emplace_back(AttemptEnded{id, Outcome::moot, 0, {}});
+    context_.events.emplace_back(AttemptEnded{id, Outcome::inconclusive, 0, {}});
     return;
   }
   ++context_.counters.attempts;
--- a/src/core/stream_migration.cpp
+++ b/src/core/stream_migration.cpp
@@ -57,7 +57,8 @@
   result.id = stream.id;
   result.attempt = stream.attempt.attempt;
   result.replica = stream.replica;
-  result.outcome = policy::Outcome::moot;  // the module of this process learns nothing from how it ends
+  result.outcome =
+      policy::Outcome::inconclusive;  // the module of this process learns nothing from how it ends
   result.closed = true;
   context_.module.on_attempt_result(context_.now_seconds(), result, context_.actions);
   context_.requests.mark_if_finished(stream.id, *running.request);
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -66,7 +66,7 @@
       return;
     case Outcome::ok:
     case Outcome::cancelled:
-    case Outcome::moot:
+    case Outcome::inconclusive:
       return;  // recorded with the first event, or our own doing
   }
 }
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -15,7 +15,7 @@
 
 // Whether an attempt with this outcome may have had an effect.
 bool may_have_run(Outcome outcome) {
-  return outcome != Outcome::full && outcome != Outcome::connect_failed && outcome != Outcome::moot;
+  return outcome != Outcome::full && outcome != Outcome::connect_failed && outcome != Outcome::inconclusive;
 }
 // Whether the replica failed for another reason than load.
 bool is_fault(Outcome outcome) {
--- a/src/shared/health_observer.cpp
+++ b/src/shared/health_observer.cpp
@@ -20,7 +20,7 @@
   using policy::Outcome;
   if (outcome == Outcome::ok) return on_first_event(now, replica);
   // A rejection says that the replica is full, and an attempt that this router gave up says nothing.
-  if (outcome == Outcome::full || outcome == Outcome::cancelled || outcome == Outcome::moot) return;
+  if (outcome == Outcome::full || outcome == Outcome::cancelled || outcome == Outcome::inconclusive) return;
   Record& record = record_of(now, replica);
   record.failed_in_row = std::min(record.failed_in_row + 1, kMaxInRow);
   record.served_in_row = 0;
--- a/tests/core/attempt_handler_test.cpp
+++ b/tests/core/attempt_handler_test.cpp
@@ -104,7 +104,7 @@
   core.broker->run_iteration();
   core.broker->run_iteration();
   EXPECT_TRUE(core.ports.attempts.empty());
-  EXPECT_EQ(core.outcomes(Outcome::moot), 1u);
+  EXPECT_EQ(core.outcomes(Outcome::inconclusive), 1u);
   core.broker->drain();
   core.pass_time(core.limits.drain_accept_window + core.limits.final_response_grace + 10 * core::kMilli);
   EXPECT_EQ(core.broker->phase(), core::Phase::stopped);  // nothing is left in the table
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -530,9 +530,10 @@
     const std::uint64_t of_replica = replica % 11 == 0 ? 5 : 1;
     if (!random_.percent(std::min<std::uint64_t>(traffic_.fault_percent * phase().faults * of_replica, 90)))
       return Outcome::ok;
-    constexpr Outcome kFaults[] = {
-        Outcome::error,          Outcome::error,          Outcome::full, Outcome::timeout,   Outcome::reset,
-        Outcome::connect_failed, Outcome::connect_failed, Outcome::full, Outcome::cancelled, Outcome::moot};
+    constexpr Outcome kFaults[] = {Outcome::error,          Outcome::error, Outcome::full,
+                                   Outcome::timeout,        Outcome::reset, Outcome::connect_failed,
+                                   Outcome::connect_failed, Outcome::full,  Outcome::cancelled,
+                                   Outcome::inconclusive};
     return kFaults[random_.below(std::size(kFaults))];
   }
   void take_accepted(const Scheduled& next) {
