--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -197,9 +197,9 @@
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
-  // Send an attempt of the request to this replica. allow_for: seconds after which it is given up as
+  // Send an attempt of the request to this replica. attempt_timeout: seconds after which it is given up as
   // Outcome::timeout; 0: until the client gives up.
-  virtual void attempt(RequestId id, ReplicaId replica, double allow_for) = 0;
+  virtual void attempt(RequestId id, ReplicaId replica, double attempt_timeout) = 0;
   // The final answer: rejected; a retry by the client is harmless, not before so many seconds.
   virtual void reject(RequestId id, double not_before_for) = 0;
   // The final answer: failed.
--- a/src/core/actions.h
+++ b/src/core/actions.h
@@ -43,8 +43,8 @@
   // What was collected since the last call, in order.
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
-  void attempt(RequestId id, ReplicaId replica, double allow_for) override {
-    actions_.emplace_back(StartAttempt{id, replica, allow_for});
+  void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override {
+    actions_.emplace_back(StartAttempt{id, replica, attempt_timeout});
   }
   void reject(RequestId id, double not_before_for) override {
     actions_.emplace_back(RejectRequest{id, not_before_for});
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -97,11 +97,11 @@
   const double time_left = request.received.deadline - now;
   const bool idempotent = class_settings(request).semantics != Semantics::not_idempotent;
   const bool may_hedge = modules_.settings.may_duplicate && idempotent;
-  double allow_for = 0.0;
+  double attempt_timeout = 0.0;
   // Where no hedged request is allowed, a silent replica is given up in time for another one.
   if (!may_hedge && idempotent && attempts_left(request) && modules_.hedging.allowed(now))
-    allow_for = std::min(time_left, modules_.hedging.delay(request));
-  context.sink.attempt(request.received.id, modules_.replicas[index].replica.id, allow_for);
+    attempt_timeout = std::min(time_left, modules_.hedging.delay(request));
+  context.sink.attempt(request.received.id, modules_.replicas[index].replica.id, attempt_timeout);
   if (may_hedge && attempts_left(request)) {
     context.sink.set_timer(std::min(time_left, modules_.hedging.delay(request)),
                            timer_cookie(TimerKind::hedge, request.received.id));
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -250,11 +250,11 @@
   ++records_;
 }
 
-void ReplyWriter::attempt(RequestId id, ReplicaId replica, double allow_for) {
+void ReplyWriter::attempt(RequestId id, ReplicaId replica, double attempt_timeout) {
   begin(65, 22);
   put(bytes_, id);
   put_worker(bytes_, replica);
-  put(bytes_, allow_for);
+  put(bytes_, attempt_timeout);
 }
 
 void ReplyWriter::reject(RequestId id, double not_before_for) {
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -64,7 +64,7 @@
 class ReplyWriter : public ActionSink {
  public:
   void set_instance(std::uint32_t index) { instance_ = index; }
-  void attempt(RequestId id, ReplicaId replica, double allow_for) override;
+  void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override;
   void reject(RequestId id, double not_before_for) override;
   void fail(RequestId id) override;
   void stop_attempt(RequestId id, std::uint16_t attempt) override;
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -312,12 +312,12 @@
   enum Tag : std::uint64_t { kAttempt = 1, kBusy, kFail, kStopAttempt, kSetAlarm, kObserve, kTakeover };
 
   // ---- the module's actions ----
-  void attempt(RequestId id, ReplicaId replica, double allow_for) override {
+  void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override {
     record(kAttempt, id, replica);
-    hash_.add_seconds(allow_for);
+    hash_.add_seconds(attempt_timeout);
     RequestInHand& request = requests_[id - 1];
     request.attempts.push_back({replica, now_, true});
-    plan_attempt(id, static_cast<std::uint32_t>(request.attempts.size() - 1), allow_for);
+    plan_attempt(id, static_cast<std::uint32_t>(request.attempts.size() - 1), attempt_timeout);
   }
   void reject(RequestId id, double not_before_for) override {
     record(kBusy, id, 0);
@@ -491,21 +491,22 @@
   }
 
   // ---- replicas ----
-  void plan_attempt(RequestId id, std::uint32_t attempt, double allow_for) {
+  void plan_attempt(RequestId id, std::uint32_t attempt, double attempt_timeout) {
     const ReplicaId replica = requests_[id - 1].attempts[attempt].replica;
     const double wait = draw_wait(replica);
     if (const Outcome outcome = draw_outcome(replica); outcome != Outcome::ok) {
-      return plan_fault(id, attempt, outcome, wait, allow_for);
+      return plan_fault(id, attempt, outcome, wait, attempt_timeout);
     }
-    if (allow_for > 0.0 && wait > allow_for) return schedule_end(allow_for, id, attempt, Outcome::timeout);
+    if (attempt_timeout > 0.0 && wait > attempt_timeout)
+      return schedule_end(attempt_timeout, id, attempt, Outcome::timeout);
     const bool streamed =
         !settings_.classes.empty() && settings_.classes[requests_[id - 1].request_class].streamed;
     if (streamed) schedule(wait, Happening::accepted, id, attempt);
     const double rest = streamed ? random_.between(0.0, 6.0 * traffic_.wait) * slowness(replica) : 0.0;
     schedule_end(wait + rest, id, attempt, random_.one_in(40) ? Outcome::reset : Outcome::ok);
   }
-  void plan_fault(RequestId id, std::uint32_t attempt, Outcome outcome, double wait, double allow_for) {
-    const double longest = allow_for > 0.0 ? allow_for : 0.8;
+  void plan_fault(RequestId id, std::uint32_t attempt, Outcome outcome, double wait, double attempt_timeout) {
+    const double longest = attempt_timeout > 0.0 ? attempt_timeout : 0.8;
     const double in = outcome == Outcome::timeout                              ? longest
                       : outcome == Outcome::error || outcome == Outcome::reset ? std::min(wait, longest)
                                                                                : random_.between(0.002, 0.1);
--- a/tests/policy/scripted_router.h
+++ b/tests/policy/scripted_router.h
@@ -27,8 +27,8 @@
   explicit ScriptedRouter(Settings settings, std::uint64_t seed = 1, double start = 100.0)
       : now(start), balancer(std::move(settings), seed, start) {}
 
-  void attempt(RequestId id, ReplicaId replica, double allow_for) override {
-    log.push_back({Action::attempt, id, replica, allow_for, attempts_sent[id]++});
+  void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override {
+    log.push_back({Action::attempt, id, replica, attempt_timeout, attempts_sent[id]++});
   }
   void reject(RequestId id, double not_before_for) override {
     log.push_back({Action::reject, id, 0, not_before_for, 0});
