--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -201,7 +201,7 @@
   // Outcome::timeout; 0: until the client gives up.
   virtual void attempt(RequestId id, ReplicaId replica, double attempt_timeout) = 0;
   // The final answer: rejected; a retry by the client is harmless, not before so many seconds.
-  virtual void reject(RequestId id, double not_before_for) = 0;
+  virtual void reject(RequestId id, double retry_after) = 0;
   // The final answer: failed.
   virtual void fail(RequestId id) = 0;
   // Cancel an attempt, by its number within the request.
--- a/src/core/actions.h
+++ b/src/core/actions.h
@@ -46,8 +46,8 @@
   void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override {
     actions_.emplace_back(StartAttempt{id, replica, attempt_timeout});
   }
-  void reject(RequestId id, double not_before_for) override {
-    actions_.emplace_back(RejectRequest{id, not_before_for});
+  void reject(RequestId id, double retry_after) override {
+    actions_.emplace_back(RejectRequest{id, retry_after});
   }
   void fail(RequestId id) override { actions_.emplace_back(FailRequest{id}); }
   void stop_attempt(RequestId id, std::uint16_t attempt) override {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -257,10 +257,10 @@
   put(bytes_, attempt_timeout);
 }
 
-void ReplyWriter::reject(RequestId id, double not_before_for) {
+void ReplyWriter::reject(RequestId id, double retry_after) {
   begin(66, 16);
   put(bytes_, id);
-  put(bytes_, not_before_for);
+  put(bytes_, retry_after);
 }
 
 void ReplyWriter::fail(RequestId id) {
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -65,7 +65,7 @@
  public:
   void set_instance(std::uint32_t index) { instance_ = index; }
   void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override;
-  void reject(RequestId id, double not_before_for) override;
+  void reject(RequestId id, double retry_after) override;
   void fail(RequestId id) override;
   void stop_attempt(RequestId id, std::uint16_t attempt) override;
   void set_timer(double span, std::uint64_t cookie) override;
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -319,9 +319,9 @@
     request.attempts.push_back({replica, now_, true});
     plan_attempt(id, static_cast<std::uint32_t>(request.attempts.size() - 1), attempt_timeout);
   }
-  void reject(RequestId id, double not_before_for) override {
+  void reject(RequestId id, double retry_after) override {
     record(kBusy, id, 0);
-    hash_.add_seconds(not_before_for);
+    hash_.add_seconds(retry_after);
     requests_[id - 1].over = true;
   }
   void fail(RequestId id) override {
--- a/tests/policy/scripted_router.h
+++ b/tests/policy/scripted_router.h
@@ -30,8 +30,8 @@
   void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override {
     log.push_back({Action::attempt, id, replica, attempt_timeout, attempts_sent[id]++});
   }
-  void reject(RequestId id, double not_before_for) override {
-    log.push_back({Action::reject, id, 0, not_before_for, 0});
+  void reject(RequestId id, double retry_after) override {
+    log.push_back({Action::reject, id, 0, retry_after, 0});
   }
   void fail(RequestId id) override { log.push_back({Action::fail, id, 0, 0, 0}); }
   void stop_attempt(RequestId id, std::uint16_t number) override {
