--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -177,10 +177,10 @@
   std::uint32_t attempt = 0;  // number within the request, from 0
   ReplicaId replica = 0;
   Outcome outcome = Outcome::error;
-  double latency = 0.0;       // seconds
-  bool closed = false;        // the client has its final answer
-  std::uint32_t note = 0;     // prompt tokens that the replica found cached
-  std::vector<float> report;  // load report; not used for decisions
+  double latency = 0.0;             // seconds
+  bool closed = false;              // the client has its final answer
+  std::uint32_t cached_tokens = 0;  // prompt tokens that the replica found cached
+  std::vector<float> report;        // load report; not used for decisions
 };
 
 // An active health check ended. Not used for decisions.
--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -192,7 +192,7 @@
   result.outcome = outcome;
   result.latency = to_seconds(context_.now - attempt.started_at);
   result.closed = request.closed();
-  result.note = cached_tokens;
+  result.cached_tokens = cached_tokens;
   result.report = std::move(report);
   context_.module.on_attempt_result(context_.now_seconds(), result, context_.actions);
   context_.requests.mark_if_finished(id.request, request);
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -174,7 +174,7 @@
   attempt->in_flight = false;
   attempt->may_have_run = may_have_run(result.outcome);
   attempt->faulty = is_fault(result.outcome);
-  recorder_.on_attempt_result(*request, *attempt, result.outcome, result.note, context.now);
+  recorder_.on_attempt_result(*request, *attempt, result.outcome, result.cached_tokens, context.now);
   if (result.closed) return finish(*request, context);
   if (request->over) return erase_if_done(*request);
   if (!request->streaming && !any_in_flight(*request)) advance(*request, context);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -121,7 +121,7 @@
   r.outcome = read_outcome(f);
   r.latency = f.get<double>();
   r.closed = f.get<std::uint8_t>() != 0;
-  r.note = f.get<std::uint32_t>();
+  r.cached_tokens = f.get<std::uint32_t>();
   r.report = f.report();
   return r;
 }
--- a/tests/policy/decision_recording_test.cpp
+++ b/tests/policy/decision_recording_test.cpp
@@ -571,7 +571,7 @@
     response.latency = now_ - attempt.sent;
     response.closed = request.over;
     if (outcome == Outcome::ok && random_.percent(traffic_.kept_percent)) {
-      response.note = static_cast<std::uint32_t>(clamp_finite(request.prefix_tokens, 0.0, 1e6));
+      response.cached_tokens = static_cast<std::uint32_t>(clamp_finite(request.prefix_tokens, 0.0, 1e6));
     }
     router(request.router).on_attempt_result(told_time(), response, *this);
   }
--- a/tests/policy/scripted_router.h
+++ b/tests/policy/scripted_router.h
@@ -60,7 +60,7 @@
     result.attempt = number;
     result.outcome = outcome;
     result.closed = closed;
-    result.note = cached_tokens;
+    result.cached_tokens = cached_tokens;
     balancer.on_attempt_result(now, result, *this);
   }
   // The first event of an attempt arrives.
