--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,9 +1,10 @@
-// Admission: what part of the requests is admitted while answers come late, and which are rejected first.
+// Admission control: the share of requests that is admitted while answers are late, and which requests are
+// rejected first.
 //
-// The admitted share falls with each late answer and rises with each timely one (AIMD), so that it settles
-// where a fifth of the admitted are late. Requests over their tenant's quota are rejected first; then classes
-// of less priority weight for their work are thinned more. Within a class neither a request's size nor its
-// session counts. Not thread-safe; times are seconds.
+// The admitted share decreases with each late answer and increases with each timely one (AIMD), so that it
+// settles where a fifth of the admitted requests are late. Requests over their tenant's quota are rejected
+// first; after that, classes with less priority weight per unit of work are rejected more often. Within a
+// class, neither the size of a request nor its session matters. Not thread-safe; times are seconds.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +17,17 @@
 
 class Admission {
  public:
-  // learned: where the admitted share and the recent answers are kept; it and the settings outlive this.
-  // load_window: seconds over which load counts; of answers, the more recent part does.
+  // learned: stores the admitted share and the recent answers. settings and learned must outlive this object.
+  // load_window_s: the time window of load; a fraction of it is the window for answers.
   Admission(const Settings& settings, LearnedState& learned, double load_window_s);
 
-  // Whether this new request is rejected. random: its own number in [0, 1).
+  // Whether this new request is rejected. random: a number in [0, 1) drawn for this request.
   bool rejects(const Request& request, double random);
-  // A request was answered, in time or late (or never).
+  // A request was answered in time or late. A request that was never answered counts as late.
   void on_answer(double now, const Request& request, bool late);
-  // How far one answer moves the admitted share: further for a router that sees few.
+  // How much one answer changes the admitted share: more if this router gets few answers.
   double step(double now) const;
-  // Whether few recent answers are late.
+  // Whether only a small fraction of the recent answers is late.
   bool in_time(double now) const;
 
  private:
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,12 +1,11 @@
-// The decision module: moves its clock on with each event, hands the event to the part that it is for, and
-// keeps these in order. It decides nothing itself. Interface, threading and units:
-// include/flintglade/policy/balancer.h
+// The decision module: advances its clock with each event and dispatches the event to its components. It
+// makes no decisions itself. Interface, threading and units: include/flintglade/policy/balancer.h
 //
-// The way of a request (request_lifecycle): request_work and tenant_quotas measure it, hot_prefixes chooses
-// its key, admission may reject it, replica_picker finds the replica of its next attempt (replica_capacity,
-// slow_start, outlier_detection, replica_load and zone_preference decline), held_requests says how long it
-// waits for one, hedging and retry_rules say when a further attempt may go out, and outcome_recorder tells
-// the parts how it went. docs/design.md explains each rule.
+// The path of a request (request_lifecycle): request_work and tenant_quotas measure it, hot_prefixes chooses
+// its key, admission may reject it, replica_picker picks the replica of its next attempt (replica_capacity,
+// slow_start, outlier_detection, replica_load and zone_preference may exclude replicas), held_requests
+// determines how long it waits for one, hedging and retry_rules determine when another attempt may be sent,
+// and outcome_recorder reports the outcome to the components. docs/design.md explains each rule.
 #include "flintglade/policy/balancer.h"
 
 #include <algorithm>
@@ -21,7 +20,7 @@
 namespace flintglade::policy {
 namespace {
 
-// A replica is avoided when it keeps less than this part of the keys that it would keep if it answered well.
+// A replica is avoided when it keeps less than this fraction of the keys that it would keep if healthy.
 constexpr double kAvoidedShare = 0.5;
 
 }  // namespace
@@ -31,7 +30,7 @@
   Impl(Settings settings, std::uint64_t seed, double now)
       : modules_(std::move(settings), seed, now), requests_(modules_), now_(now) {}
 
-  // Takes the time and the sink of an event. Time never runs backwards.
+  // Advances the clock to the time of an event. The clock never runs backwards.
   EventContext begin(double now, ActionSink& sink) {
     if (std::isfinite(now)) now_ = std::max(now_, now);
     return {now_, sink};
@@ -56,7 +55,7 @@
 
 void Balancer::Impl::on_endpoint_list(const EndpointListChange& change, EventContext context) {
   modules_.list_polling.on_list(change.kind, context.sink);
-  if (change.kind == ListKind::failed) return;  // the last list stays in force
+  if (change.kind == ListKind::failed) return;  // the previous list stays in effect
   if (change.kind != ListKind::delta) modules_.replicas.mark_all_gone();
   for (const Replica& entry : change.replicas) {
     const auto [index, started] = modules_.replicas.apply(entry, context.now);
@@ -100,13 +99,13 @@
   for (const ReplicaState& state : modules_.replicas) {
     if (state.replica.health != Health::gone) out.replicas[state.replica.id] = state;
   }
-  // Appended to what adopt() left there.
+  // Slots that adopt() stored in the learned state are still there: these are appended.
   modules_.picker.append_slot_ids(out.slots);
   modules_.picker.append_own_zone_slot_ids(out.own_zone_slots);
   return out;
 }
 
-// All but what is in flight: that is counted where it was sent.
+// Adopts everything except the in-flight counts: the process that sent an attempt counts it.
 void Balancer::Impl::adopt(LearnedState from, double now) {
   LearnedState& learned = modules_.learned;
   if (from.first_event_latency.size() != modules_.settings.classes.size() ||
@@ -159,8 +158,8 @@
 void Balancer::on_gossip(double now, std::uint32_t, std::string_view, ActionSink& sink) {
   impl_->begin(now, sink);
 }
-void Balancer::on_health_warning(double now, ReplicaId replica, double span) {
-  impl_->on_health_warning(now, replica, span);
+void Balancer::on_health_warning(double now, ReplicaId replica, double duration) {
+  impl_->on_health_warning(now, replica, duration);
 }
 std::size_t Balancer::avoided(double now) const { return impl_->avoided(now); }
 LearnedState Balancer::learned() const { return impl_->learned(); }
--- a/src/policy/endpoint_list_polling.cpp
+++ b/src/policy/endpoint_list_polling.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr double kFirstBackoffS = 0.5;
-constexpr int kMaxBackoffDoublings = 6;  // 32 s, of which the limits below leave less
-// The longest mean backoff: releases go on meanwhile, unseen.
+constexpr int kMaxBackoffDoublings = 6;  // up to 32 s, before the limits below
+// Maximum mean backoff: a rollout that runs meanwhile goes unnoticed.
 constexpr double kMaxBackoffS = 2.0;
-// The same where an agent beside the router has the list: asking it costs nothing.
+// Maximum mean backoff if a local agent provides the list: polling it costs nothing.
 constexpr double kMaxAgentBackoffS = 0.25;
-constexpr double kAfterCachedListS = 0.1;  // a list from a cache may be old
+constexpr double kAfterCachedListS = 0.1;  // a cached list may be outdated
 constexpr double kMinWaitS = 0.001;
-// Without an answer the subscription is repeated after this multiple of the interval that the platform asks
-// for, or of the default interval.
+// An unanswered subscription is repeated after this multiple of the interval that the platform requires, or
+// of the default interval.
 constexpr double kUnansweredMultiple = 1.5, kDefaultIntervalS = 10.0;
 constexpr std::uint64_t kJitterSalt = 17;
 
@@ -25,7 +25,7 @@
 
 void EndpointListPolling::on_list(ListKind kind, ActionSink& sink) {
   if (kind == ListKind::failed) {
-    // A list service that fails is most often one that all routers ask at once.
+    // The usual cause is that all routers query the list service at the same time: back off.
     subscribed_ = false;
     const int doublings = std::min(consecutive_failures_++, kMaxBackoffDoublings);
     const double max_backoff = settings_.list_pushed ? kMaxAgentBackoffS : kMaxBackoffS;
--- a/src/policy/endpoint_list_polling.h
+++ b/src/policy/endpoint_list_polling.h
@@ -1,5 +1,6 @@
-// When to subscribe to the endpoint list again: after a failure with exponential backoff and jitter, after a
-// list from a cache at once where nobody pushes it. Not thread-safe; the sink is borrowed for the call.
+// When to renew the subscription to the endpoint list: after a failure with exponential backoff and jitter;
+// shortly after a cached list if lists are sent only on request. Not thread-safe; the sink is borrowed for
+// the call.
 #pragma once
 
 #include "flintglade/policy/balancer.h"
@@ -9,12 +10,13 @@
 
 class EndpointListPolling {
  public:
-  // Both outlive this.
+  // Both must outlive this object.
   EndpointListPolling(const Settings& settings, RandomState& random) : settings_(settings), random_(random) {}
 
-  // A list, a change of it, or the failure to get one arrived. Sets the timer for the next subscription.
+  // A list, a change to it, or the failure to fetch one arrived. Sets the timer for the next subscription
+  // unless this confirms that the router is subscribed.
   void on_list(ListKind kind, ActionSink& sink);
-  // The timer of kind endpoint_list expired. Subscribes unless a subscription is in force.
+  // The timer of kind endpoint_list expired. Subscribes unless already subscribed.
   void on_timer(ActionSink& sink);
 
  private:
--- a/src/policy/fleet_monitor.cpp
+++ b/src/policy/fleet_monitor.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double kUpdateIntervalS = 0.1;
-// The fleet's largest size is forgotten this much more slowly than arrivals: longer than a release takes.
+// The peak fleet size decays over this multiple of the load window: longer than a rollout takes.
 constexpr double kPeakWindows = 10.0;
-constexpr double kNever = -1e300;     // seconds; before any time of a host
+constexpr double kNever = -1e300;     // seconds; earlier than any time of a host
 constexpr double kMaxElapsedS = 1e6;  // keeps the exponent finite after kNever
 
 }  // namespace
@@ -28,16 +28,16 @@
       peak_window_s_(kPeakWindows * load_window_s),
       updated_at_(kNever) {}
 
-bool FleetMonitor::update_if_old(double now) {
+bool FleetMonitor::update_if_stale(double now) {
   if (!stale_ && now - updated_at_ < kUpdateIntervalS) return false;
   stale_ = false;
-  capacity_.update_if_old(now);
+  capacity_.update_if_stale(now);
   const double elapsed = std::min(now - updated_at_, kMaxElapsedS);
   updated_at_ = now;
   load_.advance_fleet_to(now);
   fleet_ = summarize(now);
-  // After a loss, or while a release has most replicas down, arrivals are those of the larger fleet; what one
-  // replica carries must not be read off the few that are left.
+  // After a loss, or while a rollout has most replicas down, the arrival rate is still that of the larger
+  // fleet. The usual load of one replica must not be derived from the few that remain.
   learned_.peak_fleet_size =
       std::max(fleet_.total_size, learned_.peak_fleet_size * std::exp(-elapsed / peak_window_s_));
   return true;
--- a/src/policy/fleet_monitor.h
+++ b/src/policy/fleet_monitor.h
@@ -1,4 +1,4 @@
-// Keeps the FleetSummary up to date: one walk over the fleet, ten times a second at most, or when something
+// Keeps the FleetSummary up to date: iterates over the fleet at most ten times per second, or when something
 // has changed that picks depend on. Not thread-safe.
 #pragma once
 
@@ -13,15 +13,15 @@
 
 class FleetMonitor {
  public:
-  // All outlive this. peak_window: seconds over which the fleet's largest size is forgotten.
+  // All references must outlive this object. load_window_s: the time window of load, in seconds.
   FleetMonitor(const Settings& settings, ReplicaTable& replicas, LearnedState& learned,
                ReplicaCapacity& capacity, ReplicaLoad& load, const OutlierDetection& outliers,
                const SlowStart& slow_start, FleetSummary& fleet, double load_window_s);
 
-  // Something has changed: the next update walks the fleet.
+  // Something has changed: the next update recomputes the summary.
   void invalidate() { stale_ = true; }
-  // Renews the summary if it is old. Returns whether it did.
-  bool update_if_old(double now);
+  // Recomputes the summary if it is stale. Returns whether it did.
+  bool update_if_stale(double now);
 
  private:
   FleetSummary summarize(double now);
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -6,20 +6,20 @@
 namespace flintglade::policy {
 namespace {
 
-// Hedged requests for each request, and how many may be saved up.
-constexpr double kHedgesPerRequest = 0.015, kMaxTokens = 2.0, kFirstTokens = 1.0;
-// The second attempt goes out between these parts of the objective, where the class's usual latency and three
-// mean deviations put it.
-constexpr double kMinDelayPart = 0.5, kMaxDelayPart = 0.9, kDeviations = 3.0;
+// Budget of hedged requests: tokens added per request, maximum and initial tokens.
+constexpr double kHedgesPerRequest = 0.015, kMaxTokens = 2.0, kInitialTokens = 1.0;
+// The delay is the class's usual latency plus three mean deviations, clamped to these fractions of the
+// objective.
+constexpr double kMinDelayFraction = 0.5, kMaxDelayFraction = 0.9, kDeviations = 3.0;
 constexpr double kLatencyWeight = 0.05;   // of one first event in the usual latency
-constexpr double kMaxLatencyRatio = 2.0;  // one that is later than this counts as this
+constexpr double kMaxLatencyRatio = 2.0;  // limit on one sample in the mean, as a multiple of the objective
 
 }  // namespace
 
 Hedging::Hedging(const Settings& settings, LearnedState& learned, const Admission& admission)
     : learned_(learned), admission_(admission) {
   learned_.first_event_latency.resize(settings.classes.size());
-  learned_.hedge_tokens = kFirstTokens;
+  learned_.hedge_tokens = kInitialTokens;
 }
 
 void Hedging::on_new_request() {
@@ -38,7 +38,7 @@
 double Hedging::delay(const Request& request) const {
   const FirstEventLatency& usual = learned_.first_event_latency[request.class_index];
   return request.latency_objective *
-         std::clamp(usual.mean + kDeviations * usual.mean_deviation, kMinDelayPart, kMaxDelayPart);
+         std::clamp(usual.mean + kDeviations * usual.mean_deviation, kMinDelayFraction, kMaxDelayFraction);
 }
 
 }  // namespace flintglade::policy
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -1,6 +1,7 @@
-// Hedged requests: when a request whose first attempt is silent may get a second one, and after how long.
-// After 'The Tail at Scale' (Dean and Barroso, 2013): late enough that few need it, under a budget, and only
-// while answers are in time, because hedged requests feed an overload. Not thread-safe.
+// Hedged requests: when and after how long a second attempt may be sent while the first has no response yet.
+// Based on 'The Tail at Scale' (Dean and Barroso, 2013): late enough that few requests need it, limited by a
+// budget, and only while answers are in time, because hedged requests make an overload worse. Not
+// thread-safe.
 #pragma once
 
 #include "policy/admission.h"
@@ -11,18 +12,18 @@
 
 class Hedging {
  public:
-  // All outlive this.
+  // All references must outlive this object.
   Hedging(const Settings& settings, LearnedState& learned, const Admission& admission);
 
-  // Each request adds to the budget.
+  // Adds to the budget.
   void on_new_request();
-  // A first event arrived this long after its attempt was sent, and so shows the usual latency of its class.
+  // A first event arrived this long after its attempt was sent: updates the usual latency of the class.
   void on_first_event(const Request& request, double latency_s);
 
   // Whether a hedged request may be sent now.
   bool allowed(double now) const;
   void spend() { learned_.hedge_tokens -= 1.0; }
-  // How long a first attempt may be silent, in seconds.
+  // Seconds without a first event after which a hedged request is sent.
   double delay(const Request& request) const;
 
  private:
--- a/src/policy/held_requests.h
+++ b/src/policy/held_requests.h
@@ -1,5 +1,5 @@
-// Held requests: how long a request waits for a replica that may take it, when none is ready or those left
-// are in slow start with their budgets spent. Pure functions; times are seconds.
+// Held requests: how long a request waits for an eligible replica when none is ready, or when the only ready
+// ones are in slow start with exhausted budgets. Pure functions; times are seconds.
 #pragma once
 
 #include <algorithm>
@@ -8,16 +8,16 @@
 
 namespace flintglade::policy {
 
-// Until when a request is held at the most. A client is never kept until near its deadline on the mere hope
-// of a replica, nor for longer than its answer is worth something.
+// The time until which a request may be held: half of the time to its deadline, so that its client is not
+// kept waiting for a replica that may never come, and no longer than its answer has any value.
 inline double held_until(const Request& request, const ClassSettings& request_class) {
-  constexpr double kMaxPartOfDeadline = 0.5;
-  const double patience = request.received.deadline - request.arrived_at;
-  return std::min(worthless_after(request, request_class),
-                  request.arrived_at + kMaxPartOfDeadline * patience);
+  constexpr double kMaxHeldFraction = 0.5;
+  const double time_to_deadline = request.received.deadline - request.arrived_at;
+  return std::min(useful_until(request, request_class),
+                  request.arrived_at + kMaxHeldFraction * time_to_deadline);
 }
 
-// After how long a held request tries again.
+// Seconds after which a held request is tried again.
 inline double held_retry_delay(const Request& request, double until, double now) {
   constexpr double kMinDelayS = 0.005;
   constexpr double kTriesPerObjective = 10.0;
--- a/src/policy/hot_prefixes.h
+++ b/src/policy/hot_prefixes.h
@@ -1,8 +1,8 @@
-// The placement key of a request, and how widely the requests with one prompt prefix are spread.
+// The placement key of a request, and over how many replicas the requests with one prompt prefix are spread.
 //
-// Requests with the same prefix go to the same replica, which has it cached. A prefix that alone outweighs a
-// replica's fair share of the work is hot: it is spread over several replicas, by session, and over more
-// while its copies are found cached. Not thread-safe.
+// Requests with the same prefix go to the same replica, which has the prefix cached. A prefix is hot if its
+// load is a large fraction of a replica's fair share of the work: it is spread by session over several
+// replicas, and over more of them while requests find it cached there. Not thread-safe.
 #pragma once
 
 #include "policy/fleet_summary.h"
@@ -14,18 +14,19 @@
 
 class HotPrefixes {
  public:
-  // All outlive this. seed: for requests without session. load_window: seconds.
+  // All references must outlive this object. random: its seed places requests without a session.
+  // load_window_s: the time window of load, in seconds.
   HotPrefixes(LearnedState& learned, const FleetSummary& fleet, const ZonePreference& zones,
               const RandomState& random, double load_window_s);
 
-  // Sets the key of a new request, and which of its key's replicas comes first.
+  // Sets the key of a new request, and which of the key's replicas is tried first.
   void choose_key(Request& request, double now);
-  // A request ended; cached_tokens: how many of its prompt's tokens the replica found cached.
+  // A request was answered. cached_tokens: how many of its prompt tokens the replica found cached.
   void on_answer(const Request& request, double cached_tokens);
 
  private:
-  int update_spread(PrefixState& prefix, double wanted_replicas) const;
-  double wanted_replicas(PrefixState& prefix, double work, double now);
+  int update_spread(PrefixState& prefix, double desired_replicas) const;
+  double desired_replicas(PrefixState& prefix, double work, double now);
 
   LearnedState& learned_;
   const FleetSummary& fleet_;
--- a/src/policy/learned_state.h
+++ b/src/policy/learned_state.h
@@ -1,7 +1,8 @@
-// What a Balancer has learned since its start, as plain data: its modules keep their statistics here, and a
-// hot restart hands the whole to the Balancer of the next process (Balancer::learned, Balancer::adopt;
-// hot_restart/snapshot.cpp stores it). Nothing here decides anything. Times are seconds on the clock of both
-// processes; work is in units of this router's mean request; loads are those of this one router.
+// What a Balancer has learned since its start, as plain data. Its components store their statistics here, and
+// a hot restart passes the whole state to the Balancer of the next process (Balancer::learned,
+// Balancer::adopt; serialized by hot_restart/snapshot.cpp). Contains no decisions. Times are seconds on a
+// clock that both processes share; work is in units of this router's mean request; loads are those of this
+// router only.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +13,28 @@
 
 namespace flintglade::policy {
 
-// What this router's attempts have shown of one replica.
+// What this router's attempts have shown about one replica.
 struct ReplicaStatistics {
   double health = 1.0;                 // 1: answers within the objectives, 0: fails; as of health_updated_at
   double health_updated_at = 0.0;      // seconds
   double slow_start_tokens = 0.0;      // work that the slow start budget still allows
   double slow_start_updated_at = 0.0;  // seconds
   TimeInSystem time_in_system;         // of this router's attempts
-  double rejecting_until = 0.0;        // seconds; it rejected an attempt as full
-  double unreachable_until = 0.0;      // seconds; it could not be reached, or a health warning names it
+  double rejecting_until = 0.0;        // seconds; set when it rejects an attempt as full
+  double unreachable_until = 0.0;      // seconds; set by failed connects and by health warnings
   int consecutive_connect_failures = 0;
 };
 
 // The load of one prompt prefix.
 struct PrefixState {
   DecayingSum work;
-  int replicas = 1;  // over how many of its own replicas it is spread
+  int replicas = 1;  // the number of the key's replicas over which it is spread
 };
 
-// Whether a whole zone is out of reach.
+// Whether a whole zone is unreachable.
 struct ZoneState {
   double unreachable_until = 0.0;        // seconds
-  int consecutive_connect_failures = 0;  // to any replica there
+  int consecutive_connect_failures = 0;  // to any replica of the zone
 };
 
 // The latency of first events in a class, as multiples of the request's latency objective.
@@ -43,9 +44,9 @@
 };
 
 struct LearnedState {
-  double started_at = 0.0;  // seconds; of the first Balancer in the chain of hot restarts
+  double started_at = 0.0;  // seconds; start of the first Balancer in the chain of hot restarts
 
-  // By kind of machine.
+  // By machine kind.
   std::map<std::uint32_t, double> largest_live_size;
   std::map<std::uint32_t, TimeInSystem> time_in_system_by_kind;
   std::map<std::uint32_t, PrefillCost> prefill_costs;
@@ -57,33 +58,33 @@
   std::vector<FirstEventLatency> first_event_latency;
   std::vector<double> mean_class_work;
 
-  // By tenant: a token bucket of requests, and when it was last filled.
+  // By tenant: a token bucket of requests, and the time of its last refill.
   std::vector<double> quota_tokens;
   std::vector<double> quota_updated_at;
 
   TimeInSystem time_in_system;  // of attempts to any replica
-  DecayingSum arrived_work;     // of new requests, retries of clients left out
+  DecayingSum arrived_work;     // of new requests, without client retries
   DecayingSum hot_window_work;  // of all requests, over the longer window of hot prefixes
   DecayingSum late_answers;     // count
   DecayingSum answers;          // count
 
-  // Of all pairs of requests so far, those with the same prefix, weighted by work: how popular the prefix of
-  // an average request is.
+  // The number of all pairs of requests so far, and of those with the same prefix, weighted by work. Their
+  // ratio estimates the share of the prefix of an average request.
   double same_prefix_pairs = 0.0;
   double all_pairs = 0.0;
-  double prefix_widening = 1.0;  // factor on the replicas of a prefix, while its copies are found cached
+  double prefix_widening = 1.0;  // factor on the number of replicas of a prefix; grows with cache hits
 
   double admitted_share = 1.0;  // of requests, under overload
-  double own_zone_share = 1.0;  // of the keys that the own zone could take
-  double mean_value = 0.0;      // mean priority weight for its work
+  double own_zone_share = 1.0;  // of the keys that the own zone has capacity for
+  double mean_value = 0.0;      // mean priority weight per unit of work
   double mean_raw_work = 0.0;   // of a request, in the unit of hints, or in tokens
   double mean_prompt_tokens = 0.0;
-  double peak_fleet_size = 0.0;  // sum of sizes, slowly decaying
+  double peak_fleet_size = 0.0;  // maximum sum of replica sizes, slowly decaying
   double retry_tokens = 0.0;     // retries that the budget allows now
   double hedge_tokens = 0.0;     // hedged requests that the budget allows now
 
-  // Filled only to be handed over: what is known of each listed replica, by id, and the ids of those whose
-  // slots these are in order, those of replicas that left included.
+  // Filled only by Balancer::learned(): the statistics of each listed replica by id, and the ids of the
+  // replicas that the slots belong to, in order of the slots, including replicas that have left.
   std::map<std::uint64_t, ReplicaStatistics> replicas;
   std::vector<std::uint64_t> slots, own_zone_slots;
 };
--- a/src/policy/modules.h
+++ b/src/policy/modules.h
@@ -1,5 +1,5 @@
-// The parts of one Balancer and the state that they share, in order of construction: each part gets
-// references to those above it. Not thread-safe; times are seconds.
+// The components of one Balancer and their shared state, in order of construction: each component gets
+// references to those declared before it. Not thread-safe; times are seconds.
 #pragma once
 
 #include <cstdint>
@@ -28,15 +28,15 @@
 
 namespace flintglade::policy {
 
-// What each event brings along. The sink is borrowed for the event.
+// The time and the sink of one event. The sink is borrowed for the duration of the event.
 struct EventContext {
-  double now;  // never earlier than at the event before
+  double now;  // never earlier than at the previous event
   ActionSink& sink;
 };
 
 struct Modules {
   Modules(Settings unchecked_settings, std::uint64_t seed, double now)
-      : settings(within_bounds(std::move(unchecked_settings))),
+      : settings(clamped_settings(std::move(unchecked_settings))),
         random{seed},
         windows(time_windows(settings)),
         quotas(settings, learned, windows.load_s, now) {
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -3,7 +3,7 @@
 namespace flintglade::policy {
 namespace {
 
-// Whether the attempt stayed at the replica until its answer, or until this router gave it up.
+// Whether the attempt was in the replica until its answer, or until this router cancelled it or timed it out.
 bool ran_to_completion(Outcome outcome) {
   return outcome == Outcome::ok || outcome == Outcome::cancelled || outcome == Outcome::timeout;
 }
@@ -15,7 +15,7 @@
 }  // namespace
 
 void OutcomeRecorder::on_first_event(const Request& request, const Attempt& attempt, double now) {
-  modules_.outliers.record_reached(attempt.replica_index);
+  modules_.outliers.record_reachable(attempt.replica_index);
   modules_.hedging.on_first_event(request, attempt.first_event_latency);
   modules_.outliers.record_latency(request, attempt, now);
   on_answer(request, is_late(request, now), now);
@@ -29,7 +29,7 @@
                                         double cached_tokens, double now) {
   record_load(attempt, outcome, now);
   if (outcome == Outcome::ok) record_success(request, attempt, cached_tokens, now);
-  // What follows a time-out before the deadline stands for a hedged request.
+  // The retry after a timeout before the deadline takes the place of a hedged request.
   if (outcome == Outcome::timeout && now < request.received.deadline) modules_.hedging.spend();
   modules_.outliers.record_outcome(attempt.replica_index, outcome, now);
   if (outcome == Outcome::connect_failed) modules_.fleet_monitor.invalidate();
--- a/src/policy/outcome_recorder.h
+++ b/src/policy/outcome_recorder.h
@@ -1,5 +1,5 @@
-// Tells the parts of the decision module how attempts and requests went: what each outcome counts for.
-// Decides nothing itself. Not thread-safe; times are seconds.
+// Reports the outcomes of attempts and requests to the components of the decision module that they affect.
+// Makes no decisions itself. Not thread-safe; times are seconds.
 #pragma once
 
 #include "policy/modules.h"
@@ -9,17 +9,17 @@
 
 class OutcomeRecorder {
  public:
-  // modules outlives this.
+  // modules must outlive this object.
   explicit OutcomeRecorder(Modules& modules) : modules_(modules) {}
 
-  // The first event of an attempt arrived; the attempt carries its latency.
+  // The first event of an attempt arrived; attempt.first_event_latency is set.
   void on_first_event(const Request& request, const Attempt& attempt, double now);
-  // A later attempt had its first event before this one, which is still silent.
+  // A later attempt of the request got its first event before this one, which has none yet.
   void on_overtaken(const Request& request, const Attempt& attempt, double now);
-  // An attempt ended. cached_tokens: of its prompt, as the replica reported.
+  // An attempt ended. cached_tokens: the number of cached prompt tokens that the replica reported.
   void on_attempt_result(const Request& request, const Attempt& attempt, Outcome outcome,
                          double cached_tokens, double now);
-  // A request got its answer, or none. late: after its latency objective.
+  // A request was answered, or was given up without an answer. late: after its latency objective.
   void on_answer(const Request& request, bool late, double now);
 
  private:
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,21 +8,21 @@
 namespace flintglade::policy {
 namespace {
 
-// A replica is an outlier below this part of the mean health; above it, picks are ordinary.
+// A replica below this fraction of the mean health is an outlier and loses keys.
 constexpr double kOutlierHealth = 0.7;
-// A replica whose attempts stay for this multiple of the usual time declines keys.
+// A replica loses keys if its attempts take more than this multiple of the usual time.
 constexpr double kSlowMultiple = 2.0;
-// The weight of one result in a replica's health. A stream that breaks says more than one error.
+// The weight of one result in a replica's health. A broken stream is stronger evidence than an error.
 constexpr double kFirstEventWeight = 0.35, kErrorWeight = 0.35, kTimeoutWeight = 0.5, kResetWeight = 0.8;
-// A first event counts as wholly good up to half of the objective, as a failure from 1.25 of it on.
+// The quality of a first event is 1 up to half of the objective, and 0 from 1.25 times the objective on.
 constexpr double kFailedLatency = 1.25, kLatencyRange = 0.75;
-// One that rejected an attempt as full is passed over for so long: it may be draining.
+// A replica that rejected an attempt as full is skipped for this long: it may be draining.
 constexpr double kFullBackoffS = 1.0;
-// One that could not be reached is passed over for so long, twice that the next time, and so on.
+// An unreachable replica is skipped for this long, doubled with each further failure.
 constexpr double kFirstUnreachableBackoffS = 0.5;
 constexpr int kMaxUnreachableBackoffDoublings = 3;
-// So many connects in a row that fail in one zone count as the loss of the zone: else each replica there
-// would cost a failure.
+// This many consecutive connect failures in one zone count as the loss of the zone. Otherwise each replica of
+// a lost zone would cost one failed attempt.
 constexpr int kZoneLossConnectFailures = 2;
 constexpr double kMaxWarningS = 10.0;
 constexpr std::uint64_t kBackoffSalt = 23;
@@ -32,7 +32,7 @@
 void OutlierDetection::on_replica_started(int index, double now) {
   replicas_[index].health = 1.0;
   replicas_[index].health_updated_at = now;
-  record_reached(index);
+  record_reachable(index);
 }
 
 // quality: 1 = well within the objective, 0 = failed.
@@ -49,7 +49,7 @@
   record(attempt.replica_index, quality, kFirstEventWeight, now);
 }
 
-void OutlierDetection::record_silence(int index, double now) { record(index, 0.0, kFirstEventWeight, now); }
+void OutlierDetection::record_overdue(int index, double now) { record(index, 0.0, kFirstEventWeight, now); }
 
 void OutlierDetection::record_outcome(int index, Outcome outcome, double now) {
   switch (outcome) {
@@ -59,15 +59,15 @@
       return record(index, 0.0, kResetWeight, now);
     case Outcome::timeout:
       return record(index, 0.0, kTimeoutWeight, now);
-    case Outcome::connect_failed:  // it never ran: nothing is known of how it serves
+    case Outcome::connect_failed:  // the request did not run: no evidence about the replica's health
       return record_connect_failure(index, now);
-    case Outcome::full:  // no failure of the replica: it never ran it
+    case Outcome::full:  // not a failure of the replica: the request did not run
       replicas_[index].rejecting_until = now + kFullBackoffS;
       return;
     case Outcome::ok:
     case Outcome::cancelled:
     case Outcome::inconclusive:
-      return;  // recorded with the first event, or our own doing
+      return;  // recorded with the first event, or caused by this router
   }
 }
 
@@ -79,13 +79,13 @@
     zone.unreachable_until = backoff_until(zone.consecutive_connect_failures, now);
 }
 
-// Jittered: routers that lost the same replica do not try it again in step.
+// With jitter, so that routers which lost the same replica do not retry it at the same time.
 double OutlierDetection::backoff_until(int consecutive_failures, double now) {
   const int doublings = std::min(consecutive_failures - 1, kMaxUnreachableBackoffDoublings);
   return now + kFirstUnreachableBackoffS * (1 << doublings) * (0.5 + random_.next(kBackoffSalt));
 }
 
-void OutlierDetection::record_reached(int index) {
+void OutlierDetection::record_reachable(int index) {
   ReplicaState& state = replicas_[index];
   state.unreachable_until = 0.0;
   state.consecutive_connect_failures = 0;
--- a/src/policy/replica_capacity.cpp
+++ b/src/policy/replica_capacity.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr double kSizeUpdateIntervalS = 1.0;
-// Rough and live sizes understate how far machines differ: a large one is hardly ever seen without load.
+// Rough and live sizes understate the differences between machines: a large one is rarely seen without load.
 constexpr double kUnderstatedSizeExponent = 1.6;
-// No kind counts for more than this multiple of the fleet's mean speed, or for less than its inverse.
+// Limits the speed of a kind to this multiple of the fleet's mean speed, and to its inverse.
 constexpr double kMaxSpeed = 4.0;
-// Samples of the prefill cost at which it counts half of its full weight.
+// Number of samples at which the prefill cost has half of its full weight.
 constexpr double kPrefillPriorSamples = 0.5;
 
 }  // namespace
@@ -37,11 +37,11 @@
   const bool understated =
       settings_.weights == WeightSource::rough || settings_.weights == WeightSource::live;
   key_acceptance_ = sizes_;
-  for (double& part : key_acceptance_)
-    part = std::pow(part / largest, understated ? kUnderstatedSizeExponent : 1.0);
+  for (double& acceptance : key_acceptance_)
+    acceptance = std::pow(acceptance / largest, understated ? kUnderstatedSizeExponent : 1.0);
 }
 
-void ReplicaCapacity::update_if_old(double now) {
+void ReplicaCapacity::update_if_stale(double now) {
   if (sized_by_kind() && now - updated_at_ > kSizeUpdateIntervalS) update(now);
 }
 
@@ -59,8 +59,9 @@
   return kinds;
 }
 
-// How quickly a kind reads prompts shows after a few first events, how quickly it makes tokens after longer:
-// in its attempts' time in system. Each counts half where both are known, else the time in system alone.
+// The prefill speed of a kind is known after a few first events; its generation speed takes longer to show,
+// in the time in system of its attempts. Both have equal weight once the prefill speed is known; until then
+// only the time in system counts.
 void ReplicaCapacity::compare_speeds(Kinds& kinds) {
   const double usual_time = learned_.time_in_system.mean(1.0, kPriorArrivalsOfKind);
   double log_sum = 0.0, samples = 0.0;
--- a/src/policy/replica_capacity.h
+++ b/src/policy/replica_capacity.h
@@ -1,8 +1,9 @@
-// How much work each replica can do relative to the others, and so what part of the keys it gets.
+// The capacity of each replica relative to the others, which determines its share of the keys.
 //
-// A nominal size is taken as listed. A live size is lowered by load at that moment, which must not steer
-// ordinary picks: the largest of its kind seen so far comes near the true one. A rough size, or none, is
-// evened out over its kind and corrected by how quickly that kind works. Not thread-safe.
+// A nominal size is used as listed. A live size decreases with the current load, which must not affect
+// ordinary picks: the largest size seen for the machine kind is used as an approximation of the true one. A
+// rough size is replaced by the mean of its machine kind and corrected by the measured speed of the kind; so
+// is a missing one. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +16,25 @@
 
 class ReplicaCapacity {
  public:
-  // All outlive this.
+  // All references must outlive this object.
   ReplicaCapacity(const Settings& settings, const ReplicaTable& replicas, LearnedState& learned)
       : settings_(settings), replicas_(replicas), learned_(learned) {}
 
-  // Works all sizes out again. To be called whenever the table has changed.
+  // Recomputes all sizes. Must be called whenever the table has changed.
   void update(double now);
-  // The same, at most once a second, where sizes depend on what attempts showed.
-  void update_if_old(double now);
+  // The same, at most once per second, and only if sizes depend on the measured speeds of machine kinds.
+  void update_if_stale(double now);
 
-  // The size of a replica, in the unit of the list's sizes. 1 is a usual one where the list gives none.
+  // The size of a replica, in the unit of the list's sizes. If the list has no sizes, 1 is the usual size.
   double size(int index) const { return sizes_[index]; }
-  // The part of the keys put on its slot that a replica takes: 1 for the largest.
+  // The fraction of the keys hashed to its slot that a replica accepts: 1 for the largest replica.
   double key_acceptance(int index) const { return key_acceptance_[index]; }
 
  private:
   struct Kind {
     double total_size = 0.0;
     double count = 0.0;
-    double speed = 1.0;  // for its size, as a multiple of the fleet's
+    double speed = 1.0;  // relative to its size, as a multiple of the fleet's mean; log during compare_speeds
 
     double mean_size() const { return total_size / count; }
   };
--- a/src/policy/replica_load.cpp
+++ b/src/policy/replica_load.cpp
@@ -6,9 +6,9 @@
 namespace flintglade::policy {
 namespace {
 
-// A crowded replica has more attempts in flight for its size than this multiple of the mean over all ready
-// ones, and more than so many at all: below that, chance alone makes such differences.
-constexpr double kCrowdedMultiple = 1.5, kMinCrowdedAttempts = 6;
+// A replica is overloaded if its attempts in flight relative to its size exceed this multiple of the mean
+// over all ready replicas, and also exceed this number: below it, such differences arise by chance.
+constexpr double kOverloadMultiple = 1.5, kMinOverloadAttempts = 6;
 
 }  // namespace
 
@@ -57,12 +57,12 @@
   state.time_in_system.advance_to(now, window_s_);
 }
 
-bool ReplicaLoad::is_crowded(int index, double now) const {
+bool ReplicaLoad::is_overloaded(int index, double now) const {
   const ReplicaState& state = replicas_[index];
   if (now < state.rejecting_until) return true;
   const double mean_per_size = ratio_or_zero(learned_.time_in_system.in_flight, fleet_.total_size);
   return state.time_in_system.in_flight >
-         std::max(kMinCrowdedAttempts, kCrowdedMultiple * mean_per_size * capacity_.size(index));
+         std::max(kMinOverloadAttempts, kOverloadMultiple * mean_per_size * capacity_.size(index));
 }
 
 }  // namespace flintglade::policy
--- a/src/policy/replica_load.h
+++ b/src/policy/replica_load.h
@@ -1,4 +1,4 @@
-// The load that this router's attempts put on each replica: how many are in flight, and how long they stay
+// The load that this router's attempts put on each replica: how many are in flight, and how long they take
 // (TimeInSystem). Not thread-safe.
 #pragma once
 
@@ -8,30 +8,30 @@
 
 namespace flintglade::policy {
 
-// Attempts of the usual duration that a mean time in system starts from: few for a replica, so that a slow
-// one shows soon; more for a kind, whose mean steers many keys.
+// Weight of the prior of a mean time in system, as a number of attempts with the usual duration: small for a
+// replica, so that a slow one is detected soon; larger for a machine kind, whose mean affects many keys.
 inline constexpr double kPriorArrivalsOfReplica = 2.0, kPriorArrivalsOfKind = 4.0;
 
 class ReplicaLoad {
  public:
-  // All outlive this. window: seconds over which attempts count.
+  // All references must outlive this object. window_s: time window over which attempts count, in seconds.
   ReplicaLoad(ReplicaTable& replicas, LearnedState& learned, const ReplicaCapacity& capacity,
               const FleetSummary& fleet, double window_s)
       : replicas_(replicas), learned_(learned), capacity_(capacity), fleet_(fleet), window_s_(window_s) {}
 
   void on_attempt_sent(int index, double now);
-  // An attempt that ran until its answer, its cancellation or its time-out.
+  // An attempt ran until its answer, its cancellation or its timeout.
   void on_attempt_completed(int index, double now);
-  // One that failed earlier says nothing of how long answers take: it is taken out of the mean again.
+  // An attempt failed earlier: it does not show how long answers take, so it is removed from the mean.
   void on_attempt_failed(int index, double now, double sent_at);
-  // Brings the times in system of the fleet and of each kind up to now.
+  // Advances the times in system of the fleet and of each kind to now.
   void advance_fleet_to(double now);
   // The same for one replica.
   void advance_replica_to(ReplicaState& state, double now) const;
 
-  // Whether a replica declines further keys: it rejected an attempt as full a moment ago, or it has more of
-  // this router's attempts in flight for its size than a multiple of the fleet's mean.
-  bool is_crowded(int index, double now) const;
+  // Whether a replica gets no further keys: it recently rejected an attempt as full, or its number of this
+  // router's attempts in flight relative to its size exceeds a multiple of the fleet's mean.
+  bool is_overloaded(int index, double now) const;
 
  private:
   template <typename Change>
--- a/src/policy/replica_picker.cpp
+++ b/src/policy/replica_picker.cpp
@@ -7,10 +7,10 @@
 namespace flintglade::policy {
 namespace {
 
-// Salts of the hashes that decide whether a replica takes a key: independent of those that place it.
+// Salts of the hashes that decide whether a replica accepts a key, to make them independent of placement.
 constexpr std::uint64_t kCapacitySalt = 0x517e, kShareSalt = 0xc01d;
 
-// Whether a repeat of an idempotent request may leave the replicas that know its key.
+// Whether both replicas are in the scope within which repeats of one idempotency key are dropped.
 bool same_scope(const ClassSettings& request_class, const Replica& first, const Replica& second) {
   switch (request_class.idempotency_scope) {
     case IdempotencyScope::zone:
@@ -39,14 +39,14 @@
 
 int ReplicaPicker::pick(const Request& request, double now) {
   if (zones_.prefers_own_zone(request)) {
-    const int index = walk(request, own_zone_slots_, Strictness::healthy, now);
+    const int index = pick_from_slots(request, own_zone_slots_, Strictness::healthy, now);
     if (index >= 0) return index;
   }
-  int index = walk(request, slots_, Strictness::healthy, now);
-  if (index < 0) index = walk(request, slots_, Strictness::reachable, now);
-  // The rehashes may have missed all that fit.
-  if (index < 0) index = first_that_fits(request, Strictness::reachable, now);
-  if (index < 0) index = first_that_fits(request, Strictness::allowed, now);
+  int index = pick_from_slots(request, slots_, Strictness::healthy, now);
+  if (index < 0) index = pick_from_slots(request, slots_, Strictness::reachable, now);
+  // The rehashes may have missed all eligible replicas.
+  if (index < 0) index = first_eligible(request, Strictness::reachable, now);
+  if (index < 0) index = first_eligible(request, Strictness::allowed, now);
   return index;
 }
 
@@ -57,7 +57,7 @@
   return false;
 }
 
-// Ready, not tried yet, and where the effect of the request allows a repeat.
+// Whether the replica is ready, not tried yet, and allowed by the idempotency of the request's class.
 bool ReplicaPicker::is_candidate(const Request& request, int index) const {
   const ReplicaState& state = replicas_[index];
   if (!state.ready()) return false;
@@ -71,22 +71,23 @@
   return true;
 }
 
-bool ReplicaPicker::fits(const Request& request, int index, Strictness strictness, double now) {
+bool ReplicaPicker::is_eligible(const Request& request, int index, Strictness strictness, double now) {
   if (!is_candidate(request, index)) return false;
   const ReplicaState& state = replicas_[index];
   if (strictness >= Strictness::reachable && outliers_.is_unreachable(state, now)) return false;
   if (strictness >= Strictness::healthy) {
-    if (load_.is_crowded(index, now)) return false;
+    if (load_.is_overloaded(index, now)) return false;
     const double share = outliers_.kept_share(state, slow_start_.warm_share(state, now), now);
     if (unit_interval(mix(request.key ^ kShareSalt, state.replica.id)) >= share) return false;
   }
   return slow_start_.allows(request, index, now);
 }
 
-// Walks the key's sequence of slots: the jump of the key, then of the key rehashed with the number of the
-// step. Replicas decline keys beyond their size; those left are the key's own replicas, and a hot prefix
-// starts at the one that its session names.
-int ReplicaPicker::walk(const Request& request, const SlotTable& table, Strictness strictness, double now) {
+// Tries the key's sequence of slots: the jump hash of the key, then of the key rehashed with the step number.
+// Replicas accept only the fraction of keys that matches their size; those that accept this key are the key's
+// own replicas, and a hot prefix starts at the one selected by the session (first_choice).
+int ReplicaPicker::pick_from_slots(const Request& request, const SlotTable& table, Strictness strictness,
+                                   double now) {
   const auto slots = static_cast<std::int32_t>(table.slots().size());
   if (slots == 0) return -1;
   std::array<int, kMaxRehashes> own_replicas{};
@@ -101,17 +102,17 @@
     const double draw = unit_interval(mix(key ^ kCapacitySalt, replicas_[index].replica.id));
     if (draw > capacity_.key_acceptance(index)) continue;
     own_replicas[found++] = index;
-    if (found > request.first_choice && fits(request, index, strictness, now)) return index;
+    if (found > request.first_choice && is_eligible(request, index, strictness, now)) return index;
   }
   for (int i = 0; i < found; ++i) {
-    if (fits(request, own_replicas[i], strictness, now)) return own_replicas[i];
+    if (is_eligible(request, own_replicas[i], strictness, now)) return own_replicas[i];
   }
   return -1;
 }
 
-int ReplicaPicker::first_that_fits(const Request& request, Strictness strictness, double now) {
+int ReplicaPicker::first_eligible(const Request& request, Strictness strictness, double now) {
   for (const int index : slots_.members()) {
-    if (fits(request, index, strictness, now)) return index;
+    if (is_eligible(request, index, strictness, now)) return index;
   }
   return -1;
 }
@@ -131,7 +132,8 @@
   restore(own_zone_slots_, own_zone_slots);
 }
 
-// The slots of replicas that left come too, or their successors would move everybody's keys.
+// Includes the slots of replicas that have left: without these, the slot numbers would shift and most keys
+// would move to other replicas.
 void ReplicaPicker::restore(SlotTable& table, const std::vector<std::uint64_t>& ids) {
   std::vector<int> slots;
   slots.reserve(ids.size());
--- a/src/policy/replica_picker.h
+++ b/src/policy/replica_picker.h
@@ -1,8 +1,9 @@
-// The pick: which replica gets the next attempt of a request.
+// Picks the replica that gets the next attempt of a request.
 //
-// A request's key is put on a slot by jump consistent hash (Lamping and Veach, 2014); rehashes of the key
-// give the replicas that come next. A replica declines keys beyond its size, while it is in slow start,
-// crowded or an outlier, and each condition is dropped in turn where no replica is left. Not thread-safe.
+// Jump consistent hash (Lamping and Veach, 2014) maps a request's key to a slot; rehashes of the key give the
+// replicas to try next. A replica is skipped for keys beyond its size, and while it is in slow start,
+// overloaded or an outlier. If no replica remains, these conditions are relaxed step by step. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +19,25 @@
 
 namespace flintglade::policy {
 
-// How many rehashes of a key look for a replica before all members are tried in the order of the slots.
+// The number of rehashes of a key before all members are tried in the order of the slots.
 inline constexpr int kMaxRehashes = 48;
 
 class ReplicaPicker {
  public:
-  // All outlive this.
+  // All references must outlive this object.
   ReplicaPicker(const Settings& settings, ReplicaTable& replicas, const ReplicaCapacity& capacity,
                 const ReplicaLoad& load, const OutlierDetection& outliers, SlowStart& slow_start,
                 const ZonePreference& zones);
 
-  // The index of the replica for the next attempt, or -1 if none may take it now.
+  // The index of the replica for the next attempt, or -1 if no replica is eligible now.
   int pick(const Request& request, double now);
-  // Whether any ready replica is left that the request may still go to, now or later.
+  // Whether there is a ready replica that the request may still be sent to, now or later.
   bool any_candidate_left(const Request& request) const;
 
-  // The table has changed: joiners get slots, those of leavers become tombstones.
+  // The replica table has changed: assigns slots to new replicas and marks those of removed ones as
+  // tombstones.
   void update_slots();
-  // Takes over the slots of a former process, by ids of replicas. Without effect on fixed slots.
+  // Restores the slots of a previous process, given as replica ids. Has no effect with fixed slots.
   void restore_slots(const std::vector<std::uint64_t>& slots,
                      const std::vector<std::uint64_t>& own_zone_slots);
   // Append the ids of the replicas that the slots belong to, in order of the slots.
@@ -43,14 +45,14 @@
   void append_own_zone_slot_ids(std::vector<std::uint64_t>& ids) const { append_ids(own_zone_slots_, ids); }
 
  private:
-  // Which replicas decline: nobody but those that may not take the request; the unreachable too; those that
-  // are crowded, outliers or cold too, beyond their share.
+  // Which replicas are eligible: all that the request may be sent to; only the reachable ones of these; only
+  // those that, in addition, are not overloaded and keep this key as outliers or in slow start.
   enum class Strictness { allowed, reachable, healthy };
 
   bool is_candidate(const Request& request, int index) const;
-  bool fits(const Request& request, int index, Strictness strictness, double now);
-  int walk(const Request& request, const SlotTable& table, Strictness strictness, double now);
-  int first_that_fits(const Request& request, Strictness strictness, double now);
+  bool is_eligible(const Request& request, int index, Strictness strictness, double now);
+  int pick_from_slots(const Request& request, const SlotTable& table, Strictness strictness, double now);
+  int first_eligible(const Request& request, Strictness strictness, double now);
   void append_ids(const SlotTable& table, std::vector<std::uint64_t>& ids) const;
   void restore(SlotTable& table, const std::vector<std::uint64_t>& ids);
 
--- a/src/policy/replica_state.h
+++ b/src/policy/replica_state.h
@@ -1,4 +1,4 @@
-// A replica as the decision module sees it: its entry in the endpoint list, and what this router has learned.
+// A replica in the decision module: its entry in the endpoint list and what this router has learned about it.
 #pragma once
 
 #include "flintglade/policy/balancer.h"
@@ -7,7 +7,7 @@
 namespace flintglade::policy {
 
 struct ReplicaState : ReplicaStatistics {
-  Replica replica;  // as listed last; its size and start time are checked values
+  Replica replica;  // the latest list entry, with validated size and start time
 
   bool ready() const { return replica.health == Health::ready; }
 };
--- a/src/policy/replica_table.cpp
+++ b/src/policy/replica_table.cpp
@@ -6,7 +6,8 @@
 namespace flintglade::policy {
 namespace {
 
-constexpr double kLongPast = -1e300;  // seconds; replicas may have started before the clock's origin
+// In seconds. Start times may be negative: replicas may have started before the clock's origin.
+constexpr double kLongPast = -1e300;
 
 }  // namespace
 
@@ -19,8 +20,8 @@
   const double known_size = replica.size;
   replica = entry;
   if (!(entry.size > 0.0 && std::isfinite(entry.size))) replica.size = is_new ? 1.0 : known_size;
-  // kLongPast is the lower bound and now the upper one: the arguments are in order.
-  // NOLINTNEXTLINE(readability-suspicious-call-argument): as said above
+  // The check suspects swapped arguments, but kLongPast is the lower bound and now the upper bound.
+  // NOLINTNEXTLINE(readability-suspicious-call-argument): see above
   replica.started_at = clamp_finite(entry.started_at, kLongPast, now);
   return {index, started};
 }
--- a/src/policy/replica_table.h
+++ b/src/policy/replica_table.h
@@ -1,7 +1,7 @@
-// The replicas that this router has been told of, with what it has learned of each.
+// The replicas that have appeared in the endpoint list, with what this router has learned about each.
 //
-// A replica has an index for as long as the table lives, so that slots and attempts can refer to it after it
-// has left the endpoint list. Not thread-safe.
+// A replica keeps its index for the lifetime of the table, so that slots and attempts can refer to it after
+// it has left the endpoint list. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +16,21 @@
  public:
   struct AppliedEntry {
     int index = 0;
-    bool started = false;  // new to this router, or with another start time than before
+    bool started = false;  // new to this router, or its start time has changed
   };
 
-  // Takes an entry of the endpoint list in. A size that is no positive number leaves the known one (1 if none
-  // is known); a start time in the future counts as now.
+  // Adds or updates the replica of a list entry. If the size is not a positive finite number, the previous
+  // size is kept (1 for a new replica); a start time in the future is replaced by now.
   AppliedEntry apply(const Replica& entry, double now);
-  // A whole list follows: replicas that it does not name have left.
+  // To be called before the entries of a complete list are applied: replicas that it lacks have left.
   void mark_all_gone();
 
   // The index of the replica with this id, or -1.
   int find(ReplicaId id) const;
-  // The same; one that is not known yet is added as gone.
+  // The same, but an unknown replica is added with Health::gone.
   int find_or_add(ReplicaId id);
 
-  // The indices of the ready replicas by start time and id: the order in which slots are given.
+  // The indices of the ready replicas by start time and id: the order in which slots are assigned.
   std::vector<int> ready_in_start_order() const;
 
   ReplicaState& operator[](int index) { return replicas_[index]; }
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -11,13 +11,13 @@
 
 constexpr double kMaxDeadlineS = 4000.0;  // from now; longer than any hard limit
 constexpr double kMaxPromptTokens = 1e9;  // of a prompt
-constexpr double kTimerSlackS = 1e-6;     // a timer this early counts as on time
+constexpr double kTimerSlackS = 1e-6;     // a timer that expires this early counts as on time
 
 // Whether an attempt with this outcome may have had an effect.
 bool may_have_run(Outcome outcome) {
   return outcome != Outcome::full && outcome != Outcome::connect_failed && outcome != Outcome::inconclusive;
 }
-// Whether the replica failed for another reason than load.
+// Whether the replica failed for a reason other than load.
 bool is_fault(Outcome outcome) {
   return outcome == Outcome::error || outcome == Outcome::connect_failed || outcome == Outcome::reset;
 }
@@ -33,14 +33,14 @@
   const auto [entry, is_new] = requests_.try_emplace(received.id);
   if (!is_new) return;
   Request& request = entry->second;
-  admit(request, received, context);
-  const double draw = unit_interval(mix(modules_.random.seed, received.id));
-  if (modules_.admission.rejects(request, draw)) return reject_or_fail(request, context);
+  initialize(request, received, context);
+  const double random = unit_interval(mix(modules_.random.seed, received.id));
+  if (modules_.admission.rejects(request, random)) return reject_or_fail(request, context);
   advance(request, context);
 }
 
-// Takes the request in: its figures in range, its work, its quota, its key, and its deadline's timer.
-void RequestLifecycle::admit(Request& request, const NewRequest& received, EventContext context) {
+// Clamps the request's numbers, determines its work, quota status and key, and sets its deadline timer.
+void RequestLifecycle::initialize(Request& request, const NewRequest& received, EventContext context) {
   const double now = context.now;
   request.received = received;
   request.received.deadline = clamp_finite(received.deadline, now, now + kMaxDeadlineS);
@@ -58,7 +58,7 @@
   modules_.hedging.on_new_request();
 }
 
-// The next step of a request that is neither over nor streaming: an attempt, a wait, or the final answer.
+// The next step of a request that is neither finished nor streaming: an attempt, a wait, or the final answer.
 void RequestLifecycle::advance(Request& request, EventContext context) {
   if (!may_advance(request, context.now)) {
     if (!any_in_flight(request)) give_up(request, context);
@@ -83,7 +83,7 @@
 }
 
 int RequestLifecycle::pick(const Request& request, double now) {
-  if (modules_.fleet_monitor.update_if_old(now)) {
+  if (modules_.fleet_monitor.update_if_stale(now)) {
     modules_.zones.update(modules_.fleet, modules_.work.arrival_rate(now), modules_.quotas.total_per_s());
   }
   return modules_.picker.pick(request, now);
@@ -98,7 +98,7 @@
   const bool idempotent = class_settings(request).semantics != Semantics::not_idempotent;
   const bool may_hedge = modules_.settings.may_duplicate && idempotent;
   double attempt_timeout = 0.0;
-  // Where no hedged request is allowed, a silent replica is given up in time for another one.
+  // If hedged requests are not allowed, an attempt without a response times out early enough for a retry.
   if (!may_hedge && idempotent && attempts_left(request) && modules_.hedging.allowed(now))
     attempt_timeout = std::min(time_left, modules_.hedging.delay(request));
   context.sink.attempt(request.received.id, modules_.replicas[index].replica.id, attempt_timeout);
@@ -108,8 +108,8 @@
   }
 }
 
-// Nothing may take it now: no replica is ready, or those left are in slow start with their budgets spent. It
-// is held while that can change. Once every ready replica has been tried, nothing can change for it.
+// No replica is eligible now: none is ready, or the remaining ones are in slow start with exhausted budgets.
+// The request is held while that can change. Once every ready replica has been tried, it cannot.
 void RequestLifecycle::hold_or_give_up(Request& request, EventContext context) {
   const double until = held_until(request, class_settings(request));
   const bool tried_all = !request.attempts.empty() && !modules_.picker.any_candidate_left(request);
@@ -120,7 +120,7 @@
 
 void RequestLifecycle::on_timer(std::uint64_t cookie, EventContext context) {
   const auto found = requests_.find(timer_request(cookie));
-  if (found == requests_.end() || found->second.over || found->second.streaming) return;
+  if (found == requests_.end() || found->second.finished || found->second.streaming) return;
   Request& request = found->second;
   const TimerKind kind = timer_kind(cookie);
   if (kind == TimerKind::hedge) return on_hedge_timer(request, context);
@@ -128,9 +128,9 @@
     if (!any_in_flight(request)) advance(request, context);
     return;
   }
-  if (context.now < request.received.deadline - kTimerSlackS)  // it expired early
+  if (context.now < request.received.deadline - kTimerSlackS)  // the timer expired early
     return context.sink.set_timer(request.received.deadline - context.now, cookie);
-  // Each request gets its final answer by its own deadline, whatever its attempts do.
+  // Each request gets its final answer by its deadline, regardless of the state of its attempts.
   give_up(request, context);
 }
 
@@ -139,10 +139,10 @@
   for (const Attempt& attempt : request.attempts) {
     if (!attempt.in_flight) continue;
     ++in_flight;
-    modules_.outliers.record_silence(attempt.replica_index, context.now);
+    modules_.outliers.record_overdue(attempt.replica_index, context.now);
   }
-  const bool worthless = context.now >= worthless_after(request, class_settings(request));
-  if (in_flight != 1 || worthless || !modules_.hedging.allowed(context.now)) return;
+  const bool too_late = context.now >= useful_until(request, class_settings(request));
+  if (in_flight != 1 || too_late || !modules_.hedging.allowed(context.now)) return;
   modules_.hedging.spend();
   advance(request, context);
 }
@@ -154,11 +154,11 @@
   attempt->first_event_latency = context.now - attempt->sent_at;
   request->streaming = true;
   recorder_.on_first_event(*request, *attempt, context.now);
-  cancel_silent_attempts(*request, *attempt, context);
+  cancel_unanswered_attempts(*request, *attempt, context);
 }
 
-void RequestLifecycle::cancel_silent_attempts(const Request& request, const Attempt& answered,
-                                              EventContext context) {
+void RequestLifecycle::cancel_unanswered_attempts(const Request& request, const Attempt& answered,
+                                                  EventContext context) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& other = request.attempts[i];
     if (!other.in_flight || other.has_first_event) continue;
@@ -176,13 +176,13 @@
   attempt->faulty = is_fault(result.outcome);
   recorder_.on_attempt_result(*request, *attempt, result.outcome, result.cached_tokens, context.now);
   if (result.closed) return finish(*request, context);
-  if (request->over) return erase_if_done(*request);
+  if (request->finished) return erase_if_done(*request);
   if (!request->streaming && !any_in_flight(*request)) advance(*request, context);
 }
 
 void RequestLifecycle::on_client_disconnected(RequestId id, EventContext context) {
   const auto found = requests_.find(id);
-  if (found != requests_.end() && !found->second.over) finish(found->second, context);
+  if (found != requests_.end() && !found->second.finished) finish(found->second, context);
 }
 
 RequestLifecycle::AttemptRef RequestLifecycle::find_attempt(RequestId id, std::uint32_t number) {
@@ -191,14 +191,14 @@
   return {&found->second, &found->second.attempts[number]};
 }
 
-// The final answer for a request that no replica answered.
+// Sends the final answer for a request that no replica answered.
 void RequestLifecycle::give_up(Request& request, EventContext context) {
-  // Faulty replicas and such out of reach tell nothing of load: fewer requests would not have helped.
+  // Faulty and unreachable replicas are no sign of overload: admitting fewer requests would not have helped.
   const auto is_faulty = [](const Attempt& attempt) { return attempt.faulty; };
-  const bool by_load = request.attempts.empty()
-                           ? modules_.fleet.ready > 0.0
-                           : !std::all_of(request.attempts.begin(), request.attempts.end(), is_faulty);
-  if (by_load) recorder_.on_answer(request, true, context.now);
+  const bool caused_by_load = request.attempts.empty()
+                                  ? modules_.fleet.ready > 0.0
+                                  : !std::all_of(request.attempts.begin(), request.attempts.end(), is_faulty);
+  if (caused_by_load) recorder_.on_answer(request, true, context.now);
   reject_or_fail(request, context);
 }
 
@@ -216,7 +216,7 @@
 
 // May erase the request.
 void RequestLifecycle::finish(Request& request, EventContext context) {
-  request.over = true;
+  request.finished = true;
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& attempt = request.attempts[i];
     if (attempt.in_flight && !attempt.has_first_event && modules_.settings.may_cancel)
@@ -226,7 +226,7 @@
 }
 
 void RequestLifecycle::erase_if_done(const Request& request) {
-  if (request.over && !any_in_flight(request)) requests_.erase(request.received.id);
+  if (request.finished && !any_in_flight(request)) requests_.erase(request.received.id);
 }
 
 }  // namespace flintglade::policy
--- a/src/policy/request_work.cpp
+++ b/src/policy/request_work.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMeanWeight = 0.02;  // of one request in the running means
 constexpr double kMinRelativeWork = 0.1,
-                 kMaxRelativeWork = 10.0;  // multiples of the mean: hints may be far off
+                 kMaxRelativeWork = 10.0;  // multiples of the mean; limited because hints may be very wrong
 constexpr double kMaxHint = 1e9;
 
 }  // namespace
@@ -24,8 +24,8 @@
 }
 
 double RequestWork::arrival_rate(double now) const {
-  // A window that has not passed yet counts for the part that has. After the first window the rate comes out
-  // too high, by e / (e - 1) in the long run, because older arrivals are still in the sum.
+  // During the first window only the elapsed part of it is used. After that the rate is too high, in the long
+  // run by a factor of e / (e - 1), because older arrivals are still in the sum.
   const double observed = std::clamp(now - learned_.started_at, 1.0, window_s_);
   return learned_.arrived_work.value(now, window_s_) / (window_s_ * (1.0 - std::exp(-observed / window_s_)));
 }
--- a/src/policy/request_work.h
+++ b/src/policy/request_work.h
@@ -1,4 +1,4 @@
-// The work of requests relative to this router's mean one, and the rate at which work arrives. Not
+// The work of requests relative to this router's mean request, and the rate at which work arrives. Not
 // thread-safe.
 #pragma once
 
@@ -9,12 +9,13 @@
 
 class RequestWork {
  public:
-  // learned outlives this. window: seconds over which arrivals count.
+  // learned must outlive this object. window_s: time window over which arrivals count, in seconds.
   RequestWork(LearnedState& learned, double window_s) : learned_(learned), window_s_(window_s) {}
 
-  // Sets the work of a new request, by its hint, or else by the length of its prompt, and counts it.
+  // Sets the work of a new request from its hint, or from the length of its prompt if it has none, and counts
+  // it.
   void measure(Request& request, double now);
-  // This router's new requests a second, in units of the mean one.
+  // The work of this router's new requests per second, in units of the mean request.
   double arrival_rate(double now) const;
 
  private:
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -1,5 +1,5 @@
-// The budget of retries: in a storm of failures, retries without one would be the larger part of the load.
-// After the retry throttling of gRPC (gRFC A6). Not thread-safe.
+// The retry budget: without it, retries would make up most of the load when many requests fail. Based on the
+// retry throttling of gRPC (gRFC A6). Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 class RetryBudget {
  public:
   static constexpr double kRetriesPerRequest = 0.2;
-  static constexpr double kMaxTokens = 10.0;  // retries that may be saved up
+  static constexpr double kMaxTokens = 10.0;  // maximum number of retries in the budget
 
-  // learned outlives this.
+  // learned must outlive this object.
   explicit RetryBudget(LearnedState& learned) : learned_(learned) { learned_.retry_tokens = kMaxTokens; }
 
   void on_new_request() {
--- a/src/policy/retry_rules.cpp
+++ b/src/policy/retry_rules.cpp
@@ -7,15 +7,15 @@
 bool may_send(const Request& request, const ClassSettings& request_class, const Settings& settings,
               double now) {
   if (static_cast<int>(request.attempts.size()) >= settings.max_attempts) return false;
-  double first_effect_at = 1e300;  // when the first attempt that may have run was sent
+  double first_effect_at = 1e300;  // time at which the first attempt that may have run was sent
   for (const Attempt& attempt : request.attempts) {
     if (attempt.in_flight && !settings.may_duplicate) return false;
     if (!attempt.in_flight && !attempt.may_have_run) continue;
     if (request_class.semantics == Semantics::not_idempotent) return false;
     first_effect_at = std::min(first_effect_at, attempt.sent_at);
   }
-  // The bytes are written while the replicas still drop repeats of this key, also where the connection has to
-  // come up first.
+  // The request must be written while the replicas still drop repeats of this key, even if the connection has
+  // to be established first.
   return request_class.semantics != Semantics::idempotency_key ||
          now + settings.dial_timeout < first_effect_at + request_class.key_ttl;
 }
--- a/src/policy/retry_rules.h
+++ b/src/policy/retry_rules.h
@@ -1,15 +1,15 @@
-// Retry rules: what the effect of a request's class allows once attempts were made. Budgets and timing are
-// not decided here (retry_budget.h, hedging.h). Pure functions.
+// Retry rules: what the idempotency of a request's class allows after attempts have been sent. Budgets and
+// timing are decided elsewhere (retry_budget.h, hedging.h). Pure functions.
 #pragma once
 
 #include "policy/request.h"
 
 namespace flintglade::policy {
 
-// Whether a further attempt may be sent now.
+// Whether another attempt may be sent now.
 bool may_send(const Request& request, const ClassSettings& request_class, const Settings& settings,
               double now);
-// Whether it may be rejected with the promise that a retry by the client is harmless.
+// Whether the request may be rejected, which tells the client that it can safely retry.
 bool may_reject(const Request& request, const ClassSettings& request_class);
 
 }  // namespace flintglade::policy
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -7,17 +7,18 @@
 namespace flintglade::policy {
 namespace {
 
-// Seconds. Longer than any client waits, so that times stay far from where doubles lose microseconds.
+// Seconds. The maximum exceeds any client's timeout, and keeps times well below the magnitude at which a
+// double can no longer represent microseconds.
 constexpr double kMinHardLimitS = 0.01, kMaxHardLimitS = 3600.0, kMinObjectiveS = 0.001;
 constexpr double kMaxObjectivePer1000TokensS = 60.0;
 constexpr double kMaxPriorityWeight = 1e9;
-constexpr double kMinColdFrom = 0.01;  // a replica that takes nothing would never warm up
+constexpr double kMinColdFrom = 0.01;  // a replica that gets no requests would never warm up
 constexpr double kMaxColdS = 3600.0, kMaxDialTimeoutS = 60.0;
 constexpr double kMinFallMultiple = 0.1, kMaxFallMultiple = 100.0;
 constexpr double kMinFallS = 0.01, kMaxFallS = 600.0;
-constexpr int kMaxSlots = 65536;  // the table is rebuilt with each list
+constexpr int kMaxSlots = 65536;  // limits the cost of rebuilding the slot table with each list
 
-void bound(ClassSettings& settings) {
+void clamp_class_settings(ClassSettings& settings) {
   settings.hard_limit = clamp_finite(settings.hard_limit, kMinHardLimitS, kMaxHardLimitS);
   settings.latency_objective = clamp_finite(settings.latency_objective, kMinObjectiveS, settings.hard_limit);
   settings.priority_weight = clamp_finite(settings.priority_weight, 0.0, kMaxPriorityWeight);
@@ -28,9 +29,9 @@
 
 }  // namespace
 
-Settings within_bounds(Settings settings) {
+Settings clamped_settings(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
-  for (ClassSettings& request_class : settings.classes) bound(request_class);
+  for (ClassSettings& request_class : settings.classes) clamp_class_settings(request_class);
   settings.balancers = std::max(settings.balancers, 1);
   settings.zones = std::max(settings.zones, 1);
   settings.max_attempts = std::max(settings.max_attempts, 1);
--- a/src/policy/settings_validation.h
+++ b/src/policy/settings_validation.h
@@ -1,12 +1,13 @@
-// The ranges of the decision module's settings. Pure functions; settings out of range are no error here.
+// The valid ranges of the decision module's settings. Pure functions; settings out of range are not errors
+// but are clamped.
 #pragma once
 
 #include "flintglade/policy/balancer.h"
 
 namespace flintglade::policy {
 
-// The settings with each figure drawn into the range that the module's arithmetic holds for; what is not
-// finite becomes the least value. There is at least one class afterwards.
-Settings within_bounds(Settings settings);
+// Returns the settings with each number clamped to the range in which the module's arithmetic is valid;
+// numbers that are not finite become the minimum. The result has at least one class.
+Settings clamped_settings(Settings settings);
 
 }  // namespace flintglade::policy
--- a/src/policy/slot_table.cpp
+++ b/src/policy/slot_table.cpp
@@ -47,27 +47,28 @@
   occupied_.assign(slots_.size(), false);
 }
 
-// Where no start times are told: a fixed number of slots, each with the replica that scores highest there
-// (rendezvous hashing; Thaler and Ravishankar, 1998). That is made of the set alone, whatever a router saw
-// before, and one that joins or leaves moves only the slots that it gets or had.
+// Used if the endpoint list has no start times: a fixed number of slots, each assigned to the replica with
+// the highest score (rendezvous hashing; Thaler and Ravishankar, 1998). The result depends only on the set of
+// ready replicas and not on the router's history, and a replica that joins or leaves moves only its own
+// slots.
 void SlotTable::fill_fixed(const ReplicaTable& replicas, const std::vector<int>& ready, int fixed_slots) {
   std::vector<bool> was_member(replicas.size(), false);
   for (const int replica : members_) was_member[replica] = true;
   slots_.resize(fixed_slots, -1);
   const auto score = [&](int replica, int slot) { return mix(replicas[replica].replica.id, slot + 1); };
-  const auto offer = [&](int replica, int slot) {
+  const auto assign_if_highest = [&](int replica, int slot) {
     if (slots_[slot] < 0 || score(replica, slot) > score(slots_[slot], slot)) slots_[slot] = replica;
   };
   for (int slot = 0; slot < fixed_slots; ++slot) {
     if (slots_[slot] < 0 || replicas[slots_[slot]].ready()) continue;
     slots_[slot] = -1;
     for (const int replica : ready) {
-      if (was_member[replica]) offer(replica, slot);
+      if (was_member[replica]) assign_if_highest(replica, slot);
     }
   }
   for (const int replica : ready) {
     if (was_member[replica]) continue;
-    for (int slot = 0; slot < fixed_slots; ++slot) offer(replica, slot);
+    for (int slot = 0; slot < fixed_slots; ++slot) assign_if_highest(replica, slot);
   }
   members_ = ready;
   occupied_.assign(fixed_slots, !ready.empty());
--- a/src/policy/slot_table.h
+++ b/src/policy/slot_table.h
@@ -1,8 +1,8 @@
-// Placement: which replica a slot of the key space belongs to.
+// Placement: maps the slots of the key space to replicas.
 //
-// Slots stand in order of start time and id. A replica that leaves keeps its slot as a tombstone, so that
-// only its keys are rehashed; the same id back, or else a successor, fills it; other joiners take the next
-// slots. Indices are those of the ReplicaTable. Not thread-safe.
+// Slots are assigned in order of start time and id. The slot of a replica that leaves becomes a tombstone, so
+// that only its keys are rehashed. It is reused by the same replica id when that returns, or else by a new
+// replica; further new replicas get new slots. Indices are those of the ReplicaTable. Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -13,14 +13,14 @@
 
 class SlotTable {
  public:
-  // The replicas have changed. ready_in_order: the ready ones, by start time and id. fixed_slots: so many
-  // slots, filled by the set of ready replicas alone; 0: a slot for each replica.
+  // The replicas have changed. ready_in_order: the ready replicas, by start time and id. fixed_slots: the
+  // number of slots, whose assignment depends only on the set of ready replicas; 0: one slot per replica.
   void update(const ReplicaTable& replicas, const std::vector<int>& ready_in_order, int fixed_slots);
-  // Takes the slots over that a former process had. All count as tombstones until the next update.
+  // Restores the slots of a previous process. All are tombstones until the next update.
   void restore(std::vector<int> slots);
 
   const std::vector<int>& slots() const { return slots_; }
-  // The ready replicas that have a slot, each once.
+  // The ready replicas that have a slot, without duplicates.
   const std::vector<int>& members() const { return members_; }
   bool is_tombstone(int slot) const { return !occupied_[slot]; }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,9 +1,9 @@
-// Slow start: a replica that started a short time ago takes a growing part of its keys, under a hard budget.
+// Slow start: a recently started replica gets a growing share of its keys, limited by a strict budget.
 //
-// The platform's replicas fall over if they get a multiple of what they can do while cold. No router knows
-// what the others send, so each keeps to its own part: what a replica of this size gets of this router's work
-// when warm, times how warm it is, times a part of that multiple. The budget is a token bucket of work for
-// each replica. Not thread-safe.
+// The platform's replicas fail if they get more than a multiple (fall_multiple) of their capacity while cold.
+// A router does not know what the others send, so each limits its own portion: the usual work that it sends
+// to a warm replica of this size, times the warm share, times a fraction of that multiple. The budget is a
+// token bucket of work per replica. Not thread-safe.
 #pragma once
 
 #include "policy/fleet_summary.h"
@@ -16,7 +16,7 @@
 
 class SlowStart {
  public:
-  // All outlive this.
+  // All references must outlive this object.
   SlowStart(const Settings& settings, ReplicaTable& replicas, const LearnedState& learned,
             const ReplicaCapacity& capacity, const RequestWork& work, const FleetSummary& fleet,
             const RandomState& random)
@@ -28,14 +28,14 @@
         fleet_(fleet),
         random_(random) {}
 
-  // A replica started: its budget begins anew.
+  // A replica started: resets its budget.
   void on_replica_started(int index, double now);
-  // The part of its capacity that a replica has by now: 1 once it is warm.
+  // The fraction of its capacity that a replica has reached: 1 once it is warm.
   double warm_share(const ReplicaState& state, double now) const;
 
-  // Whether the budget of a replica in slow start allows this request; a warm one has no budget.
+  // Whether the budget of a replica in slow start allows this request. A warm replica has no budget limit.
   bool allows(const Request& request, int index, double now);
-  // The request is sent there: its work is taken out of the budget, if the budget covers it.
+  // The request is sent to the replica: deducts its work from the budget, if the budget covers it.
   void spend(const Request& request, int index, double now);
 
  private:
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,7 +5,8 @@
 namespace flintglade::policy {
 namespace {
 
-// A router sees few of a tenant's requests: a deep bucket keeps chance from looking like excess.
+// Minimum capacity of a bucket. A router sees few of a tenant's requests; with a smaller bucket, random
+// bursts would count as over quota.
 constexpr double kMinBucketRequests = 3.0;
 
 }  // namespace
--- a/src/policy/time_windows.h
+++ b/src/policy/time_windows.h
@@ -1,4 +1,4 @@
-// The windows over which the decision module forgets, worked out once from the settings of the classes.
+// The time constants of the decision module's decaying statistics, derived from the settings of the classes.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 struct TimeWindows {
   double load_s = 1.0;                // of observed work, and of attempts' time in system
-  double longest_hard_limit_s = 0.0;  // of health: no client waits longer
+  double longest_hard_limit_s = 0.0;  // window of health: no client waits longer
 };
 
 inline TimeWindows time_windows(const Settings& settings) {
--- a/src/policy/timer_cookie.h
+++ b/src/policy/timer_cookie.h
@@ -1,4 +1,4 @@
-// The cookies of a Balancer's timers: the timer's purpose in the upper bits, the request in the lower ones.
+// The cookies of a Balancer's timers: the kind of timer in the upper bits, the request id in the lower ones.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 enum class TimerKind : std::uint64_t { deadline = 0, hedge = 1, held_request = 2, endpoint_list = 3 };
 
-// Hosts number requests below 2^52.
+// Request ids are below 2^52.
 inline constexpr int kTimerKindShift = 52;
 
 inline std::uint64_t timer_cookie(TimerKind kind, RequestId request = 0) {
--- a/src/policy/zone_preference.cpp
+++ b/src/policy/zone_preference.cpp
@@ -5,14 +5,14 @@
 namespace flintglade::policy {
 namespace {
 
-// A crossing at this price or above makes the own zone come first: a twentieth of a request's weight.
+// The own zone is preferred if crossing zones costs at least this fraction of a request's weight.
 constexpr double kMinCrossingPrice = 0.05;
-// The own zone takes all its keys until its capacity falls under this part of an even split.
+// The own zone gets all its keys until its capacity falls below this fraction of an even split.
 constexpr double kZoneSlack = 0.7;
-// Tenants' quotas add up to about this part of what the fleet can do.
-constexpr double kQuotaPartOfCapacity = 0.8;
-constexpr double kMaxCrossingPrice =
-    0.5;  // above, the step on a timely answer would exceed that on a late one
+// Assumption: the tenants' quotas add up to about this fraction of the fleet's capacity.
+constexpr double kQuotaFractionOfCapacity = 0.8;
+// Above this price, the step on a timely answer would exceed the step on a late one.
+constexpr double kMaxCrossingPrice = 0.5;
 constexpr std::uint64_t kZoneSalt = 0x20e;
 
 }  // namespace
@@ -35,17 +35,18 @@
   const double even_split =
       ratio_or_zero(fleet.own_zone_warm_size * settings_.zones, fleet.warm_size * kZoneSlack);
   own_zone_capacity_share_ = std::min(1.0, even_split);
-  // A zone's traffic can outgrow its replicas: what its routers, an even part of all, must be getting by what
-  // this one gets, against what its replicas can do by the quotas.
+  // A zone's traffic can exceed the capacity of its replicas. The demand of the zone is extrapolated from
+  // this router's arrival rate, assuming an equal number of routers per zone; its capacity is derived from
+  // the quotas.
   const double demand = arrival_rate * settings_.balancers / settings_.zones;
   const double capacity =
-      total_quota_per_s / kQuotaPartOfCapacity * ratio_or_zero(fleet.own_zone_warm_size, fleet.warm_size);
+      total_quota_per_s / kQuotaFractionOfCapacity * ratio_or_zero(fleet.own_zone_warm_size, fleet.warm_size);
   if (capacity > 0.0 && demand * own_zone_capacity_share_ > kZoneSlack * capacity)
     own_zone_capacity_share_ = kZoneSlack * capacity / demand;
 }
 
-// Late answers from the own zone let more of its keys cross, until a crossing costs as much as it saves, and
-// late ones from elsewhere fewer; no more cross than an even split would.
+// Late answers from the own zone let more of its keys go to other zones, until crossing costs as much as it
+// saves; late answers from other zones let fewer go there. The own zone keeps at least its even share.
 void ZonePreference::on_answer(std::uint32_t zone, bool late, double step) {
   const double price = std::min(kMaxCrossingPrice, settings_.price_cross_zone);
   double& share = learned_.own_zone_share;
--- a/src/policy/zone_preference.h
+++ b/src/policy/zone_preference.h
@@ -1,5 +1,5 @@
-// Zone-aware routing: where requests across zones cost much, the router's own zone comes first for the part
-// of the keys that it can carry. After 'Zone aware routing' in Envoy. Not thread-safe.
+// Zone-aware routing: if requests to other zones are expensive, the router's own zone is preferred for the
+// share of the keys that it has capacity for. Based on 'Zone aware routing' in Envoy. Not thread-safe.
 #pragma once
 
 #include "policy/fleet_summary.h"
@@ -10,18 +10,18 @@
 
 class ZonePreference {
  public:
-  // Both outlive this.
+  // Both must outlive this object.
   ZonePreference(const Settings& settings, LearnedState& learned);
 
-  // Whether the own zone comes first at all.
+  // Whether the own zone is preferred at all.
   bool active() const { return active_; }
-  // Whether this request tries the own zone first.
+  // Whether the own zone is tried first for this request.
   bool prefers_own_zone(const Request& request) const;
-  // The part of the fleet over which a key's replicas are chosen, in number of replicas.
+  // The number of replicas from which a key's replicas are chosen.
   double candidate_replicas(const FleetSummary& fleet) const;
 
-  // The fleet has changed. arrival_rate: this router's requests a second; total_quota: of all tenants, over
-  // all routers, 0 if unknown.
+  // The fleet has changed. arrival_rate: this router's requests per second. total_quota_per_s: of all tenants
+  // over all routers; 0 if unknown.
   void update(const FleetSummary& fleet, double arrival_rate, double total_quota_per_s);
   // An answer came from this zone, late or in time. step: see Admission::step.
   void on_answer(std::uint32_t zone, bool late, double step);
@@ -30,7 +30,7 @@
   const Settings& settings_;
   LearnedState& learned_;
   bool active_;
-  double own_zone_capacity_share_ = 1.0;  // of the keys, by the size of the own zone
+  double own_zone_capacity_share_ = 1.0;  // the share of the keys that the own zone has capacity for
 };
 
 }  // namespace flintglade::policy
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace testing_support;
 
-// Without admission, under overload nearly every request is sent and nearly every answer is late.
+// Without admission control, an overloaded router sends nearly every request and nearly every answer is late.
 TEST(Admission, RejectsUnderLateAnswersLowPriorityFirstAndStopsAfterwards) {
   Settings settings = test_settings();
   settings.classes.push_back(settings.classes[0]);
@@ -27,14 +27,14 @@
       rejected[phase][i % 2] += router.final_answers(id);
       if (phase == 1) router.run_to(router.now + 1.5);
       if (router.attempts_sent[id] > 0) {
-        router.accept(id, 0);
-        router.respond(id, 0, Outcome::ok, true);
+        router.receive_first_event(id, 0);
+        router.end_attempt(id, 0, Outcome::ok, true);
       }
     }
     if (phase == 1) {
       for (int i = 0; i < 400; ++i, ++id) {
         router.receive(new_request(id, scrambled(id)));
-        if (router.attempts_sent[id] > 0) router.accept(id, 0);
+        if (router.attempts_sent[id] > 0) router.receive_first_event(id, 0);
       }
     }
   }
@@ -44,7 +44,7 @@
   EXPECT_EQ(rejected[2][0] + rejected[2][1], 0u);
 }
 
-// What is rejected under load is not picked by a request's size within its class, nor by its session.
+// Within a class, neither a request's size nor its session determines whether it is rejected under load.
 TEST(Admission, RejectsNeitherTheLargestRequestsNorWholeSessions) {
   for (int variant = 0; variant < 3; ++variant) {
     Settings settings = test_settings();
@@ -54,8 +54,8 @@
     ScriptedRouter router(settings);
     router.list(ListKind::cached, ready_replicas(8));
     constexpr int kSessions = 40, kTurns = 200;
-    int answered[2] = {}, asked[2] = {};  // of the tenth with the longest prompts; of all
-    std::vector<int> served(kSessions);
+    int large_received = 0, large_admitted = 0, all_received = 0, all_admitted = 0;
+    std::vector<int> admitted_of_session(kSessions);
     RequestId id = 1;
     for (int turn = 0; turn < kTurns; ++turn) {
       for (int session = 0; session < kSessions; ++session, ++id) {
@@ -63,22 +63,22 @@
         const bool large = id % 10 == 3;
         request.prompt_tokens = large ? 20000.0 : 1000.0;
         router.receive(request);
-        const bool taken = router.attempts_sent[id] > 0;
-        asked[0] += large, asked[1] += 1;
-        answered[0] += large && taken, answered[1] += taken;
-        served[session] += taken;
-        if (!taken) continue;
-        // Most come late, so that a part is rejected throughout.
+        const bool admitted = router.attempts_sent[id] > 0;
+        large_received += large, all_received += 1;
+        large_admitted += large && admitted, all_admitted += admitted;
+        admitted_of_session[session] += admitted;
+        if (!admitted) continue;
+        // Most answers are late, so that some requests are rejected all the time.
         if (scrambled(id) % 4 != 0) router.run_to(router.now + 2.6);
-        router.accept(id, 0);
-        router.respond(id, 0, Outcome::ok, true);
+        router.receive_first_event(id, 0);
+        router.end_attempt(id, 0, Outcome::ok, true);
       }
     }
-    const double all = static_cast<double>(answered[1]) / asked[1];
-    EXPECT_LT(all, 0.95) << variant;  // some are rejected, or nothing is tested
-    // The operators ask for two thirds; a bias by size shows well above that.
-    EXPECT_GE(static_cast<double>(answered[0]) / asked[0], all * 0.85) << variant;
-    EXPECT_GT(*std::min_element(served.begin(), served.end()), 0) << variant;
+    const double admitted_share = static_cast<double>(all_admitted) / all_received;
+    EXPECT_LT(admitted_share, 0.95) << variant;  // some must be rejected for the test to be valid
+    // The operators require two thirds; a bias by size already shows well above that.
+    EXPECT_GE(static_cast<double>(large_admitted) / large_received, admitted_share * 0.85) << variant;
+    EXPECT_GT(*std::min_element(admitted_of_session.begin(), admitted_of_session.end()), 0) << variant;
   }
 }
 
--- a/tests/policy/endpoint_list_polling_test.cpp
+++ b/tests/policy/endpoint_list_polling_test.cpp
@@ -21,13 +21,13 @@
   for (int i = 0; i < 8; ++i) {
     const auto asked = router.actions(Action::subscribe).size();
     router.list(ListKind::failed, {});
-    EXPECT_NE(router.place(5), 0u);  // the last list stays in force
+    EXPECT_NE(router.place(5), 0u);  // the previous list stays in effect
     const double from = router.now;
     while (router.actions(Action::subscribe).size() == asked && router.now < from + 60.0)
       router.run_to(router.now + 0.01);
     waits.push_back(router.now - from);
   }
-  for (const double wait : waits) EXPECT_LT(wait, 3.1);  // releases go on while the list is not seen
+  for (const double wait : waits) EXPECT_LT(wait, 3.1);  // rollouts continue while the list is unavailable
   EXPECT_GT(waits[3] + waits[4], waits[0] * 2.0);
   router.list(ListKind::delta, {});
   const auto asked = router.actions(Action::subscribe).size();
@@ -35,8 +35,9 @@
   EXPECT_EQ(router.actions(Action::subscribe).size(), asked);  // subscribed: no further calls
 }
 
-// What an agent beside the router has counts as told, also before it is asked: it is asked again soon.
-TEST(EndpointListPolling, AsksAnAgentAgainSoon) {
+// A local agent can be polled at no cost: after a failure the router retries much sooner than with a remote
+// list service.
+TEST(EndpointListPolling, RetriesALocalAgentSoon) {
   Settings settings = test_settings();
   settings.list_on_request = settings.list_pushed = true;
   ScriptedRouter router(settings);
@@ -50,7 +51,7 @@
   }
 }
 
-TEST(EndpointListPolling, NeverAsksForAPushedList) {
+TEST(EndpointListPolling, NeverSubscribesUnlessListsAreSentOnRequest) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(3));
   router.run_to(200.0);
--- a/tests/policy/hedging_test.cpp
+++ b/tests/policy/hedging_test.cpp
@@ -15,46 +15,48 @@
   router.receive(new_request(1, 5));
   router.run_to(104.9);
   EXPECT_EQ(router.actions(Action::attempt, 1).size(), 1u);
-  ScriptedRouter t(
-      test_settings());  // the other side: where it is allowed, a silent replica is hedged within the aim
-  t.list(ListKind::cached, ready_replicas(6));
-  t.receive(new_request(1, 5));
-  t.run_to(101.0);
-  ASSERT_EQ(t.actions(Action::attempt, 1).size(), 2u);
-  EXPECT_NE(t.actions(Action::attempt, 1)[0].replica, t.actions(Action::attempt, 1)[1].replica);
+  // For comparison: where it is allowed, the hedged request is sent within the latency objective.
+  ScriptedRouter hedging_router(test_settings());
+  hedging_router.list(ListKind::cached, ready_replicas(6));
+  hedging_router.receive(new_request(1, 5));
+  hedging_router.run_to(101.0);
+  const auto attempts = hedging_router.actions(Action::attempt, 1);
+  ASSERT_EQ(attempts.size(), 2u);
+  EXPECT_NE(attempts[0].replica, attempts[1].replica);
 }
 
-// Hedged requests, and early time-outs where they are forbidden, feed an overload: only while answers are in
-// time.
-TEST(Hedging, SetsNoEarlyTimeOutsWhileAnswersAreLate) {
+// Hedged requests make an overload worse, and so do early timeouts where hedged requests are forbidden: both
+// are used only while answers are in time.
+TEST(Hedging, SetsNoEarlyTimeoutsWhileAnswersAreLate) {
   Settings settings = test_settings();
   settings.may_duplicate = false;
   ScriptedRouter router(settings);
   router.list(ListKind::cached, ready_replicas(8));
   router.receive(new_request(1, 1));
-  EXPECT_GT(router.actions(Action::attempt, 1)[0].span, 0.0);
+  EXPECT_GT(router.actions(Action::attempt, 1)[0].duration, 0.0);
   router.run_to(101.0 + 0.5);
-  router.accept(1, 0);
+  router.receive_first_event(1, 0);
   router.receive(new_request(2, 2));
-  EXPECT_EQ(router.actions(Action::attempt, 2)[0].span, 0.0);
+  EXPECT_EQ(router.actions(Action::attempt, 2)[0].duration, 0.0);
 }
 
 TEST(Hedging, SendsNoHedgedRequestsWhileAnswersAreLate) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   router.receive(new_request(1, 1));
-  router.accept(1, 0);
+  router.receive_first_event(1, 0);
   for (RequestId id = 2; id <= 6; ++id) {
     router.receive(new_request(id, id));
-    router.accept(id, 0);
+    router.receive_first_event(id, 0);
   }
   router.receive(new_request(10, 10));
   router.receive(new_request(11, 11));
   router.run_to(101.4);
-  const auto copies = router.actions(Action::attempt, 10).size() + router.actions(Action::attempt, 11).size();
-  EXPECT_EQ(copies, 3u);  // the budget holds one copy, not two
-  router.accept(10, 0);
-  router.accept(11, 0);  // both late
+  const auto attempts =
+      router.actions(Action::attempt, 10).size() + router.actions(Action::attempt, 11).size();
+  EXPECT_EQ(attempts, 3u);  // the budget allows one hedged request, not two
+  router.receive_first_event(10, 0);
+  router.receive_first_event(11, 0);  // both late
   router.receive(new_request(12, 12));
   router.run_to(102.9);
   EXPECT_EQ(router.actions(Action::attempt, 12).size(), 1u);
--- a/tests/policy/held_requests_test.cpp
+++ b/tests/policy/held_requests_test.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(held_until(waiting_request(), ClassSettings{}), 101.0);
 }
 
-TEST(HeldRequests, TryAgainTenTimesWithinTheObjectiveAndAtTheEnd) {
+TEST(HeldRequests, AreRetriedTenTimesWithinTheObjectiveAndAtTheEnd) {
   EXPECT_DOUBLE_EQ(held_retry_delay(waiting_request(), 104.0, 100.0), 0.1);
   EXPECT_DOUBLE_EQ(held_retry_delay(waiting_request(), 104.0, 103.96875), 0.03125);
   EXPECT_DOUBLE_EQ(held_retry_delay(waiting_request(), 104.0, 104.0), 0.005);
--- a/tests/policy/hot_prefixes_test.cpp
+++ b/tests/policy/hot_prefixes_test.cpp
@@ -9,37 +9,41 @@
 
 using namespace testing_support;
 
-std::set<ReplicaId> replicas_of_prefix(ScriptedRouter& router, RequestId from, double part, int others) {
-  std::set<ReplicaId> seen;
+// Sends 200 requests with one prefix, which is this fraction of the prompt, and before each of them `others`
+// requests with prefixes of their own. Returns the replicas of the last 100 requests with the prefix.
+std::set<ReplicaId> replicas_of_prefix(ScriptedRouter& router, RequestId from, double prefix_fraction,
+                                       int others) {
+  std::set<ReplicaId> used;
   for (RequestId id = from; id < from + 200; ++id) {
-    for (int k = 0; k < others; ++k) {
-      const RequestId other = id * 100 + static_cast<RequestId>(k);
+    for (int i = 0; i < others; ++i) {
+      const RequestId other = id * 100 + static_cast<RequestId>(i);
       router.receive(prefixed(other, other, other, 0.9));
       router.balancer.on_client_disconnected(router.now, other, router);
     }
-    router.receive(prefixed(id, id, 42, part));
-    if (id >= from + 100) seen.insert(router.actions(Action::attempt, id)[0].replica);
+    router.receive(prefixed(id, id, 42, prefix_fraction));
+    if (id >= from + 100) used.insert(router.actions(Action::attempt, id)[0].replica);
     router.balancer.on_client_disconnected(router.now, id, router);
     router.run_to(router.now + 0.05);
   }
-  return seen;
+  return used;
 }
 
-TEST(HotPrefixes, APrefixKeepsToOneReplicaWhileItIsNotHot) {
+TEST(HotPrefixes, APrefixThatIsNotHotStaysOnOneReplica) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   EXPECT_EQ(replicas_of_prefix(router, 1000, 0.9, 24).size(), 1u);
 }
 
-TEST(HotPrefixes, AHotPrefixIsSpreadOverAFewReplicas) {
+TEST(HotPrefixes, AHotPrefixIsSpreadOverSeveralReplicas) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(24));
-  const auto n = replicas_of_prefix(router, 1000, 0.9, 9).size();
-  EXPECT_GE(n, 3u);
-  EXPECT_LE(n, 12u);
+  const auto used = replicas_of_prefix(router, 1000, 0.9, 9).size();
+  EXPECT_GE(used, 3u);
+  EXPECT_LE(used, 12u);
 }
 
-// A walk of rehashes reaches two dozen replicas; of hundreds, those carried the whole of a hot prefix.
+// The rehashes of one key reach only about 24 replicas. Without sub-keys, these carried the whole load of a
+// hot prefix in a fleet of hundreds.
 TEST(HotPrefixes, AVeryHotPrefixInALargeFleetGetsSubKeysOfItsOwn) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(200));
@@ -52,7 +56,7 @@
   EXPECT_EQ(replicas_of_prefix(router, 1000, 0.3, 24).size(), 8u);
 }
 
-// A prompt far longer than its prefix saves as much by a hit as the mean one does.
+// With a prompt much longer than its prefix, a cache hit saves as much as with a mean prompt.
 TEST(HotPrefixes, ALongPromptGoesWhereItsPrefixIsCachedIfThatIsHalfOfAMeanPrompt) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(40));
@@ -67,32 +71,33 @@
   router.receive(prefixed(1000, 1000, 42, 0.9));
   const ReplicaId home = router.actions(Action::attempt, 1000)[0].replica;
   EXPECT_EQ(long_prompt(1001, 900.0), home);
-  std::set<ReplicaId> short_prefix;  // one of 300 is under half of the mean prompt: each goes by its session
-  for (RequestId id = 2000; id < 2010; ++id) short_prefix.insert(long_prompt(id, 300.0));
-  EXPECT_GT(short_prefix.size(), 3u);
+  // A prefix of 300 tokens is below half of the mean prompt: requests are placed by session.
+  std::set<ReplicaId> replicas_of_short_prefix;
+  for (RequestId id = 2000; id < 2010; ++id) replicas_of_short_prefix.insert(long_prompt(id, 300.0));
+  EXPECT_GT(replicas_of_short_prefix.size(), 3u);
 }
 
-// Plays requests over a set of equally popular prefixes, all found cached or all missed; gives how many
-// replicas the last ones of prefix 1 were spread over.
+// Sends requests with a set of equally popular prefixes, either all cache hits or all misses. Returns the
+// number of replicas over which the last requests of prefix 1 were spread.
 std::size_t replicas_of_first_prefix(int replicas, int prefixes, bool cached) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(replicas));
-  std::set<ReplicaId> seen;
+  std::set<ReplicaId> used;
   for (RequestId id = 1; id <= 1500; ++id) {
     router.run_to(router.now + 0.02);
     router.receive(prefixed(id, scrambled(id), 1 + id % static_cast<RequestId>(prefixes), 0.9));
     const auto sent = router.actions(Action::attempt, id);
     if (sent.empty()) continue;
-    if (id > 700 && id % static_cast<RequestId>(prefixes) == 0) seen.insert(sent[0].replica);
-    router.accept(id, 0);
-    router.respond(id, 0, Outcome::ok, true, cached ? 1000 : 0);
+    if (id > 700 && id % static_cast<RequestId>(prefixes) == 0) used.insert(sent[0].replica);
+    router.receive_first_event(id, 0);
+    router.end_attempt(id, 0, Outcome::ok, true, cached ? 1000 : 0);
   }
-  return seen.size();
+  return used.size();
 }
 
-// Fewer prefixes than replicas leave most replicas idle and a few overrun, unless copies everywhere cost
-// nothing.
-TEST(HotPrefixes, AreSpreadWiderWhileTheirCopiesAreFoundAndReplicasOutnumberThem) {
+// With fewer prefixes than replicas, some replicas are overloaded while most are idle, unless the prefixes
+// are spread. Wider spreading costs nothing while requests find the prefix cached.
+TEST(HotPrefixes, AreSpreadWiderWhileTheyAreFoundCachedAndReplicasOutnumberThem) {
   const auto missed = replicas_of_first_prefix(40, 20, false);
   EXPECT_LE(missed, 10u);
   EXPECT_GE(replicas_of_first_prefix(40, 20, true), missed + 10);
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace testing_support;
 
-TEST(OutlierDetection, AnOutlierKeepsAFewTrialKeysAndComesBack) {
+TEST(OutlierDetection, AnOutlierKeepsSomeKeysAndRecovers) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   const auto before = placements(router);
@@ -19,55 +19,55 @@
   for (RequestId id = 1; id <= 5; ++id) {
     router.receive(new_request(id, 1000003));
     const auto sent = router.actions(Action::attempt, id);
-    if (sent.back().replica == bad) router.respond(id, 0, Outcome::reset, false);
+    if (sent.back().replica == bad) router.end_attempt(id, 0, Outcome::reset, false);
     router.balancer.on_client_disconnected(router.now, id, router);
     for (std::uint32_t n = 0; n < router.attempts_sent[id]; ++n)
-      router.respond(id, n, Outcome::cancelled, true);
+      router.end_attempt(id, n, Outcome::cancelled, true);
   }
   const auto during = placements(router);
   EXPECT_LT(std::count(during.begin(), during.end(), bad), std::count(before.begin(), before.end(), bad) / 2);
   for (std::size_t i = 0; i < before.size(); ++i) {
     if (before[i] != bad) {
-      EXPECT_EQ(during[i], before[i]);  // nobody else's keys move
+      EXPECT_EQ(during[i], before[i]);  // the keys of other replicas do not move
     }
   }
   router.run_to(140.0);
   EXPECT_EQ(placements(router), before);
 }
 
-TEST(OutlierDetection, AFullQueueIsNoFailureOfTheReplica) {
+TEST(OutlierDetection, ARejectionAsFullIsNoFailureOfTheReplica) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   const auto before = placements(router);
   for (RequestId id = 1; id <= 20; ++id) {
     router.receive(new_request(id, 1000003));
-    router.respond(id, 0, Outcome::full, false);
+    router.end_attempt(id, 0, Outcome::full, false);
     router.balancer.on_client_disconnected(router.now, id, router);
-    router.respond(id, 1, Outcome::cancelled, true);
+    router.end_attempt(id, 1, Outcome::cancelled, true);
   }
   router.run_to(router.now + 2.0);
   for (RequestId id = 100; id < 500; ++id) {  // answers in time again: nothing is rejected
     router.receive(new_request(id, id));
-    router.accept(id, 0);
-    router.respond(id, 0, Outcome::ok, true);
+    router.receive_first_event(id, 0);
+    router.end_attempt(id, 0, Outcome::ok, true);
   }
   EXPECT_EQ(placements(router), before);
 }
 
-TEST(OutlierDetection, AFullReplicaIsPassedOverForAMoment) {
+TEST(OutlierDetection, AFullReplicaIsSkippedBriefly) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   const ReplicaId home = router.place(77);
   router.receive(new_request(1, 77));
-  router.respond(1, 0, Outcome::full, false);  // it may be draining: the list will tell, late
+  router.end_attempt(1, 0, Outcome::full, false);  // it may be draining, which the list reports only later
   EXPECT_NE(router.place(77), home);
   router.run_to(router.now + 2.0);
   EXPECT_EQ(router.place(77), home);
 }
 
-// Ten routers that see one request a second each: the slow replica's streams are far from their end when the
-// second comes, and its keys go elsewhere all the same.
-TEST(OutlierDetection, ASlowReplicaShowsByTwoOrThreeStreamsThatStillRun) {
+// Ten routers that get one request per second each. The slow replica must lose keys before its first streams
+// have ended.
+TEST(OutlierDetection, ASlowReplicaIsDetectedWhileItsFirstStreamsAreRunning) {
   int early = 0, late = 0;
   for (std::uint64_t number = 0; number < 10; ++number) {
     Settings settings = test_settings();
@@ -78,18 +78,18 @@
     for (RequestId id = 1; id <= 60; ++id) {
       streams.run_to(router.now + 1.0);
       router.receive(new_request(id, scrambled(id + 100 * number)));
-      router.accept(id, 0);
+      router.receive_first_event(id, 0);
       const bool slow = router.actions(Action::attempt, id)[0].replica == 7919;
       streams.add(id, slow ? 30.0 : 1.0);
       (id <= 20 ? early : late) += slow;
     }
   }
-  EXPECT_GT(early, 8);  // a tenth, as long as nothing is known
+  EXPECT_GT(early, 8);  // of 200: about a tenth, before the replica is known to be slow
   EXPECT_LT(late, 28);  // of 400
 }
 
-// A fleet of many routers, each of which seldom sends to one replica: what one finds out late, all find out
-// late.
+// A fleet of many routers, each of which rarely sends to any one replica. If one router detects a failure
+// late, all of them do.
 struct TrafficCounts {
   int failed = 0, own = 0, served = 0;
 };
@@ -109,8 +109,8 @@
   return replicas;
 }
 
-// One router of 100 gets 3 requests a second for some seconds; replicas for which is_down() is true refuse
-// the connection, others answer at once.
+// One router of 100 gets 3 requests per second. Replicas for which is_down() is true refuse connections, the
+// others answer immediately.
 template <typename IsDown>
 TrafficCounts run_traffic(ScriptedRouter& router, double seconds, const std::vector<Replica>& replicas,
                           const IsDown& is_down) {
@@ -124,11 +124,11 @@
       const ReplicaId at = router.actions(Action::attempt, id)[n].replica;
       if (is_down(at)) {
         ++counts.failed;
-        router.respond(id, n, Outcome::connect_failed, false);
+        router.end_attempt(id, n, Outcome::connect_failed, false);
         continue;
       }
-      router.accept(id, n);
-      router.respond(id, n, Outcome::ok, true);
+      router.receive_first_event(id, n);
+      router.end_attempt(id, n, Outcome::ok, true);
       ++counts.served;
       for (const Replica& replica : replicas) counts.own += replica.id == at && replica.zone == 1;
     }
@@ -136,7 +136,7 @@
   return counts;
 }
 
-TEST(OutlierDetection, ALostZoneIsPassedOverAfterAFewFailedConnectsAndComesBack) {
+TEST(OutlierDetection, ALostZoneIsSkippedAfterAFewFailedConnectsAndRecovers) {
   Settings settings = one_of_many();
   settings.max_attempts = 3;
   auto replicas = two_zones();
@@ -151,14 +151,14 @@
     all.failed += lost.failed;
     all.served += lost.served;
     for (Replica& replica : replicas)
-      replica.started_at = own(replica.id) ? router.now - 50.0 : 0.0;  // back, by the list
+      replica.started_at = own(replica.id) ? router.now - 50.0 : 0.0;  // the list reports them as restarted
     router.list(ListKind::full, replicas);
     all.own += run_traffic(router, 5.0, replicas, [](ReplicaId) { return false; }).own;
     for (Replica& replica : replicas) replica.started_at = 0.0;
   }
-  EXPECT_LT(all.failed, 100 * 8);            // 20 replicas are lost; a router finds out by a handful
-  EXPECT_GT(all.served, 100 * 30 * 9 / 10);  // nearly every request, in the other zone
-  EXPECT_GT(all.own, 100 * 15 / 2);          // and in the own zone again
+  EXPECT_LT(all.failed, 100 * 8);            // a router needs few failures to detect the loss of 20 replicas
+  EXPECT_GT(all.served, 100 * 30 * 9 / 10);  // nearly all requests are served by the other zone
+  EXPECT_GT(all.own, 100 * 15 / 2);          // and later by the own zone again
 }
 
 TEST(OutlierDetection, OneUnreachableReplicaIsNoLostZone) {
@@ -171,8 +171,9 @@
   EXPECT_GT(counts.own, counts.served * 9 / 10);
 }
 
-// What others have seen: passed over for a while, not against what it does for us, and never past the end.
-TEST(OutlierDetection, AReplicaThatOthersWarnOfIsPassedOverUntilItServesOrTheWarningIsOld) {
+// A health warning from other routers makes this router skip the replica for a limited time. It does not
+// prevent picks if there is no other replica.
+TEST(OutlierDetection, AReplicaWithAHealthWarningIsSkippedUntilTheWarningExpires) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(4));
   std::uint64_t session = 1;
@@ -188,7 +189,7 @@
   EXPECT_EQ(router.place(session), home);
   for (const Replica& replica : ready_replicas(4))
     router.balancer.on_health_warning(router.now, replica.id, 5.0);
-  EXPECT_NE(router.place(session), 0u);  // with all of them warned of, one is picked even so
+  EXPECT_NE(router.place(session), 0u);  // with warnings for all replicas, one is still picked
 }
 
 }  // namespace
--- a/tests/policy/replica_capacity_test.cpp
+++ b/tests/policy/replica_capacity_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace testing_support;
 
-// Nominal sizes divide the keys in proportion; rough ones understate how far machines differ, and go to the
-// power 1.6: a replica of size 3 beside three of size 1 is then due 5.8 / 8.8 of the keys.
+// Nominal sizes divide the keys in proportion. Rough sizes understate the differences between machines and
+// are raised to the power of 1.6: a replica of size 3 among three of size 1 then gets 5.8 / 8.8 of the keys.
 TEST(ReplicaCapacity, SizesDivideTheKeys) {
   for (const WeightSource source : {WeightSource::nominal, WeightSource::rough}) {
     Settings settings = test_settings();
@@ -28,8 +28,8 @@
   }
 }
 
-// A live size falls with load; ordinary picks must not follow it.
-TEST(ReplicaCapacity, LiveSizesDoNotSteerOrdinaryPicks) {
+// A live size decreases with load, which must not affect ordinary picks.
+TEST(ReplicaCapacity, LiveSizesDoNotAffectOrdinaryPicks) {
   Settings settings = test_settings();
   settings.weights = WeightSource::live;
   ScriptedRouter router(settings);
@@ -41,7 +41,7 @@
   EXPECT_EQ(placements(router), before);
 }
 
-TEST(ReplicaCapacity, SlowKindsGetFewerKeysWhereTheListGivesNoSizes) {
+TEST(ReplicaCapacity, SlowKindsGetFewerKeysUnlessSizesAreNominal) {
   for (const WeightSource source : {WeightSource::silent, WeightSource::nominal, WeightSource::rough}) {
     Settings settings = test_settings();
     settings.weights = source;
@@ -54,22 +54,22 @@
     for (RequestId id = 1; id <= 600; ++id) {
       streams.run_to(100.0 + static_cast<double>(id) * 0.1);
       router.receive(new_request(id, scrambled(id)));
-      router.accept(id, 0);
+      router.receive_first_event(id, 0);
       streams.add(id, slow(router.actions(Action::attempt, id)[0].replica) ? 3.0 : 1.0);
     }
     const auto at = placements(router, 400);
-    const auto n = std::count_if(at.begin(), at.end(), slow);
+    const auto on_slow = std::count_if(at.begin(), at.end(), slow);
     if (source != WeightSource::nominal) {
-      EXPECT_LT(n, 110);
+      EXPECT_LT(on_slow, 110);
     } else {
-      EXPECT_NEAR(n, 200, 40);
+      EXPECT_NEAR(on_slow, 200, 40);
     }
   }
 }
 
-// A list calls machines larger that read at a third of the others' speed. A router that sees a few dozen
-// requests learns it from the waits for first events, whatever was cached of the prompts.
-TEST(ReplicaCapacity, FirstEventsShowWhichKindReadsFaster) {
+// The list reports a larger size for machines that process prompts at a third of the others' speed. A router
+// with a few dozen requests learns this from the latency of first events, for any number of cached tokens.
+TEST(ReplicaCapacity, FirstEventsShowWhichKindHasFasterPrefill) {
   const auto share_of_slow = [](int requests, double seconds_per_token) {
     Settings settings = test_settings();
     settings.weights = WeightSource::rough;
@@ -94,16 +94,16 @@
       const bool slow = kind(router.actions(Action::attempt, id)[0].replica) == 1;
       const double tokens = request.prompt_tokens - cached + PrefillCost::kStepOverheadTokens;
       router.run_to(router.now + tokens * (slow ? seconds_per_token : 3e-5));
-      router.accept(id, 0);
+      router.receive_first_event(id, 0);
       router.run_to(router.now + 0.5);
-      router.respond(id, 0, Outcome::ok, true, cached);
+      router.end_attempt(id, 0, Outcome::ok, true, cached);
     }
     const auto at = placements(router, 400);
     const auto slow = std::count_if(at.begin(), at.end(), [&](ReplicaId id) { return kind(id) == 1; });
     return static_cast<double>(slow) / 400.0;
   };
   EXPECT_GT(share_of_slow(0, 9e-5), 0.6);   // only the listed sizes are known
-  EXPECT_LT(share_of_slow(24, 9e-5), 0.4);  // reads at a third of the others' speed, streams as long
+  EXPECT_LT(share_of_slow(24, 9e-5), 0.4);  // a third of the others' prefill speed, streams of equal length
   EXPECT_GT(share_of_slow(24, 3e-5), 0.45);
 }
 
--- a/tests/policy/replica_load_test.cpp
+++ b/tests/policy/replica_load_test.cpp
@@ -9,19 +9,19 @@
 
 using namespace testing_support;
 
-TEST(ReplicaLoad, ACrowdedReplicaDeclinesKeysUntilItHasFewerInFlight) {
+TEST(ReplicaLoad, AnOverloadedReplicaGetsNoKeysUntilItHasFewerInFlight) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   const ReplicaId home = router.place(77);
-  std::map<ReplicaId, int> at;
+  std::map<ReplicaId, int> attempts;
   for (RequestId id = 1; id <= 60; ++id) {
     router.receive(new_request(id, 77));
-    router.accept(id, 0);
-    ++at[router.actions(Action::attempt, id)[0].replica];
+    router.receive_first_event(id, 0);
+    ++attempts[router.actions(Action::attempt, id)[0].replica];
   }
-  EXPECT_GE(at[home], 5);
-  EXPECT_LE(at[home], 15);  // of 60; the mean is under 8
-  for (RequestId id = 1; id <= 60; ++id) router.respond(id, 0, Outcome::ok, true);
+  EXPECT_GE(attempts[home], 5);
+  EXPECT_LE(attempts[home], 15);  // of 60; the mean is under 8
+  for (RequestId id = 1; id <= 60; ++id) router.end_attempt(id, 0, Outcome::ok, true);
   EXPECT_EQ(router.place(77), home);
 }
 
--- a/tests/policy/replica_table_test.cpp
+++ b/tests/policy/replica_table_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace testing_support;
 
-TEST(ReplicaTable, TellsANewReplicaAndARestartFromAChange) {
+TEST(ReplicaTable, DistinguishesNewAndRestartedReplicasFromChanges) {
   ReplicaTable table;
   EXPECT_TRUE(table.apply(warm_replica(7, 10.0), 100.0).started);
   Replica replica = warm_replica(7, 10.0);
--- a/tests/policy/request_work_test.cpp
+++ b/tests/policy/request_work_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_EQ(tiny.work, 0.1);
 }
 
-TEST(RequestWork, TakesTheHintBeforeThePrompt) {
+TEST(RequestWork, PrefersTheHintToThePromptLength) {
   LearnedState learned;
   RequestWork work(learned, kWindowS);
   Request request = request_with(5.0, 1000.0);
@@ -36,7 +36,7 @@
   EXPECT_EQ(learned.mean_raw_work, 5.0);
 }
 
-TEST(RequestWork, RetriesOfClientsAreNoNewArrivals) {
+TEST(RequestWork, ClientRetriesAreNotCountedAsArrivals) {
   LearnedState learned;
   learned.started_at = 100.0;
   RequestWork work(learned, kWindowS);
@@ -52,7 +52,7 @@
   RequestWork work(learned, kWindowS);
   for (int i = 1; i <= 200; ++i) {
     Request request = request_with(1.0, 0.0);
-    const double now = 100.0 + i * 0.05;  // 20 a second
+    const double now = 100.0 + i * 0.05;  // 20 per second
     work.measure(request, now);
     if (i == 40 || i == 200) {
       EXPECT_NEAR(work.arrival_rate(now), 20.0, 1.0);
--- a/tests/policy/retry_budget_test.cpp
+++ b/tests/policy/retry_budget_test.cpp
@@ -9,12 +9,13 @@
 
 using namespace testing_support;
 
-TEST(RetryBudget, EndsAStormOfRetries) {
+TEST(RetryBudget, LimitsRetriesWhenAllRequestsFail) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(8));
   for (RequestId id = 1; id <= 300; ++id) {
     router.receive(new_request(id, id));
-    for (std::uint32_t n = 0; n < router.attempts_sent[id]; ++n) router.respond(id, n, Outcome::error, false);
+    for (std::uint32_t n = 0; n < router.attempts_sent[id]; ++n)
+      router.end_attempt(id, n, Outcome::error, false);
   }
   EXPECT_LT(router.actions(Action::attempt).size(), 300u * 13 / 10);
 }
--- a/tests/policy/scripted_router.h
+++ b/tests/policy/scripted_router.h
@@ -1,5 +1,5 @@
-// A router without I/O for the tests of the decision module: drives one Balancer through its public interface
-// with a clock of its own, fires its timers, and records the actions that it asks for. Times are seconds.
+// A router without I/O for the tests of the decision module. It drives one Balancer through its public
+// interface with a simulated clock, fires its timers and records the requested actions. Times are seconds.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   enum Kind { attempt, reject, fail, stop, timer, subscribe } kind;
   RequestId id = 0;
   ReplicaId replica = 0;
-  double span = 0.0;
+  double duration = 0.0;     // the attempt's timeout, Retry-After, or the timer's delay
   std::uint64_t number = 0;  // of the attempt, or the timer's cookie
 };
 
@@ -37,24 +37,24 @@
   void stop_attempt(RequestId id, std::uint16_t number) override {
     log.push_back({Action::stop, id, 0, 0, number});
   }
-  void set_timer(double span, std::uint64_t cookie) override {
-    timers.emplace(now + span, cookie);
-    log.push_back({Action::timer, 0, 0, span, cookie});
+  void set_timer(double delay, std::uint64_t cookie) override {
+    timers.emplace(now + delay, cookie);
+    log.push_back({Action::timer, 0, 0, delay, cookie});
   }
   void subscribe(bool) override { log.push_back({Action::subscribe, 0, 0, 0, 0}); }
 
-  // An endpoint list, or a change of it, arrives.
+  // An endpoint list, or a change to it, arrives.
   void list(ListKind kind, std::vector<Replica> replicas) {
     balancer.on_endpoint_list(now, {kind, 1, std::move(replicas)}, *this);
   }
-  // A request arrives; without a deadline of its own it has 5 s.
+  // A request arrives; if it has no deadline, the deadline is in 5 s.
   void receive(NewRequest request) {
     if (request.deadline == 0.0) request.deadline = now + 5.0;
     balancer.on_request(now, request, *this);
   }
   // An attempt ends.
-  void respond(RequestId id, std::uint32_t number, Outcome outcome, bool closed,
-               std::uint32_t cached_tokens = 0) {
+  void end_attempt(RequestId id, std::uint32_t number, Outcome outcome, bool closed,
+                   std::uint32_t cached_tokens = 0) {
     AttemptResult result;
     result.id = id;
     result.attempt = number;
@@ -64,18 +64,18 @@
     balancer.on_attempt_result(now, result, *this);
   }
   // The first event of an attempt arrives.
-  void accept(RequestId id, std::uint32_t number) {
+  void receive_first_event(RequestId id, std::uint32_t number) {
     FirstEvent event;
     event.id = id;
     event.attempt = number;
     balancer.on_first_event(now, event, *this);
   }
-  // Moves the clock on and fires the timers that expire until then.
+  // Advances the clock and fires the timers that expire until then.
   void run_to(double time) {
     while (!timers.empty() && timers.begin()->first <= time) {
-      const auto [at, cookie] = *timers.begin();
+      const auto [expiry, cookie] = *timers.begin();
       timers.erase(timers.begin());
-      now = std::max(now, at);
+      now = std::max(now, expiry);
       balancer.on_timer(now, cookie, *this);
     }
     now = time;
@@ -92,8 +92,8 @@
   std::size_t final_answers(RequestId id) const {
     return actions(Action::reject, id).size() + actions(Action::fail, id).size();
   }
-  // Where a request of this session goes first; 0 if nowhere. Its client leaves at once, which says nothing
-  // of the replica.
+  // The replica of the first attempt of a request of this session; 0 if none is sent. The client disconnects
+  // immediately, which does not affect the replica's health.
   ReplicaId place(std::uint64_t session) {
     const RequestId id = next_id++;
     NewRequest request;
@@ -103,7 +103,7 @@
     const auto sent = actions(Action::attempt, id);
     if (sent.empty()) return 0;
     balancer.on_client_disconnected(now, id, *this);
-    respond(id, 0, Outcome::cancelled, true);
+    end_attempt(id, 0, Outcome::cancelled, true);
     return sent[0].replica;
   }
 
@@ -115,17 +115,17 @@
   RequestId next_id = 1'000'000;
 };
 
-// Streams that end after a time of their own.
+// Streams with a given duration each.
 class RunningStreams {
  public:
   explicit RunningStreams(ScriptedRouter& router) : router_(router) {}
 
   void add(RequestId id, double duration) { ends_.emplace(router_.now + duration, id); }
-  // Moves the clock on; each stream that ends until then is answered at its end.
+  // Advances the clock and reports each stream that ends until then at its end.
   void run_to(double time) {
     while (!ends_.empty() && ends_.begin()->first <= time) {
       router_.run_to(std::max(router_.now, ends_.begin()->first));
-      router_.respond(ends_.begin()->second, 0, Outcome::ok, true);
+      router_.end_attempt(ends_.begin()->second, 0, Outcome::ok, true);
       ends_.erase(ends_.begin());
     }
     router_.run_to(time);
@@ -166,7 +166,7 @@
   return replicas;
 }
 
-// Spreads small numbers over the whole range.
+// Spreads small numbers over the whole 64-bit range.
 inline std::uint64_t scrambled(std::uint64_t number) { return (number + 1) * 0x9e3779b97f4a7c15ull; }
 
 inline NewRequest new_request(RequestId id, std::uint64_t session, double deadline = 0.0) {
@@ -176,16 +176,16 @@
   request.deadline = deadline;
   return request;
 }
-// A prompt of 1,000 tokens, of which the prefix is this part.
-inline NewRequest prefixed(RequestId id, std::uint64_t session, std::uint64_t prefix, double part) {
+// A prompt of 1,000 tokens, of which the prefix is this fraction.
+inline NewRequest prefixed(RequestId id, std::uint64_t session, std::uint64_t prefix, double fraction) {
   NewRequest request = new_request(id, session);
   request.prefix_id = prefix;
   request.prompt_tokens = 1000.0;
-  request.prefix_tokens = 1000.0 * part;
+  request.prefix_tokens = 1000.0 * fraction;
   return request;
 }
 
-// Where each of so many sessions is placed.
+// The replica that each of this many sessions is placed on.
 inline std::vector<ReplicaId> placements(ScriptedRouter& router, int sessions = 200) {
   std::vector<ReplicaId> replicas;
   for (int session = 1; session <= sessions; ++session)
--- a/tests/policy/settings_validation_test.cpp
+++ b/tests/policy/settings_validation_test.cpp
@@ -12,22 +12,22 @@
 using namespace testing_support;
 
 TEST(SettingsValidation, SettingsOutOfRangeStillLeadToAnswers) {
-  Settings odd[5];
-  odd[1].classes.emplace_back();
-  odd[1].classes[0].latency_objective = -1.0;
-  odd[1].classes[0].hard_limit = 0.0;
-  odd[2] = test_settings();
-  odd[2].max_attempts = 0;
-  odd[2].balancers = -5;
-  odd[2].cold_from = std::nan("");
-  odd[2].fall_multiple = 0.0;
-  odd[3] = test_settings();
-  odd[3].zones = 0;
-  odd[3].zone = 99;
-  odd[3].price_cross_zone = 1.0;
-  odd[4] = test_settings();
-  odd[4].tenants = {{-3.0, 0.0}, {std::nan(""), 1.0}};
-  for (const Settings& settings : odd) {
+  Settings invalid[5];
+  invalid[1].classes.emplace_back();
+  invalid[1].classes[0].latency_objective = -1.0;
+  invalid[1].classes[0].hard_limit = 0.0;
+  invalid[2] = test_settings();
+  invalid[2].max_attempts = 0;
+  invalid[2].balancers = -5;
+  invalid[2].cold_from = std::nan("");
+  invalid[2].fall_multiple = 0.0;
+  invalid[3] = test_settings();
+  invalid[3].zones = 0;
+  invalid[3].zone = 99;
+  invalid[3].price_cross_zone = 1.0;
+  invalid[4] = test_settings();
+  invalid[4].tenants = {{-3.0, 0.0}, {std::nan(""), 1.0}};
+  for (const Settings& settings : invalid) {
     ScriptedRouter router(settings);
     auto replicas = ready_replicas(3);
     replicas[0].size = 0.0;
@@ -48,7 +48,7 @@
   }
 }
 
-TEST(SettingsValidation, DrawsFiguresIntoTheirRangesAndAddsAClass) {
+TEST(SettingsValidation, ClampsNumbersAndAddsAClass) {
   Settings settings;
   settings.balancers = 0;
   settings.zones = -1;
@@ -56,22 +56,22 @@
   settings.slots = 1 << 30;
   settings.cold_from = std::nan("");
   settings.fall_s = 0.0;
-  const Settings bounded = within_bounds(settings);
-  EXPECT_EQ(bounded.classes.size(), 1u);
-  EXPECT_EQ(bounded.balancers, 1);
-  EXPECT_EQ(bounded.zones, 1);
-  EXPECT_EQ(bounded.max_attempts, 1);
-  EXPECT_EQ(bounded.slots, 65536);
-  EXPECT_EQ(bounded.cold_from, 0.01);
-  EXPECT_EQ(bounded.fall_s, 0.01);
+  const Settings clamped = clamped_settings(settings);
+  EXPECT_EQ(clamped.classes.size(), 1u);
+  EXPECT_EQ(clamped.balancers, 1);
+  EXPECT_EQ(clamped.zones, 1);
+  EXPECT_EQ(clamped.max_attempts, 1);
+  EXPECT_EQ(clamped.slots, 65536);
+  EXPECT_EQ(clamped.cold_from, 0.01);
+  EXPECT_EQ(clamped.fall_s, 0.01);
 }
 
-TEST(SettingsValidation, AnObjectiveIsNeverBeyondTheHardLimit) {
+TEST(SettingsValidation, AnObjectiveIsNeverAboveTheHardLimit) {
   Settings settings;
   settings.classes.emplace_back();
   settings.classes[0].latency_objective = 10.0;
   settings.classes[0].hard_limit = 3.0;
-  EXPECT_EQ(within_bounds(settings).classes[0].latency_objective, 3.0);
+  EXPECT_EQ(clamped_settings(settings).classes[0].latency_objective, 3.0);
 }
 
 }  // namespace
--- a/tests/policy/slot_table_test.cpp
+++ b/tests/policy/slot_table_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace testing_support;
 
-// Worked out with exact fractions in another language from the formula of the paper.
+// Reference values computed independently from the formula in the paper, with exact fractions.
 TEST(JumpHash, GivesTheReferenceValues) {
   EXPECT_EQ(jump_hash(0, 1), 0);
   EXPECT_EQ(jump_hash(1, 1), 0);
@@ -61,15 +61,15 @@
 }
 
 TEST(JumpHash, SpreadsKeysEvenly) {
-  std::vector<int> count(13);
-  for (std::uint64_t k = 0; k < 130000; ++k) ++count[jump_hash(k * 0x9e3779b97f4a7c15ull, 13)];
-  for (int c : count) EXPECT_NEAR(c, 10000, 500);
+  std::vector<int> counts(13);
+  for (std::uint64_t i = 0; i < 130000; ++i) ++counts[jump_hash(i * 0x9e3779b97f4a7c15ull, 13)];
+  for (const int count : counts) EXPECT_NEAR(count, 10000, 500);
 }
 
 TEST(JumpHash, GrowthMovesKeysToTheNewBucketOnly) {
   int moved = 0;
-  for (std::uint64_t k = 0; k < 20000; ++k) {
-    const auto key = k * 0x9e3779b97f4a7c15ull;
+  for (std::uint64_t i = 0; i < 20000; ++i) {
+    const auto key = i * 0x9e3779b97f4a7c15ull;
     const int before = jump_hash(key, 19), after = jump_hash(key, 20);
     if (before == after) continue;
     EXPECT_EQ(after, 19);
@@ -78,48 +78,48 @@
   EXPECT_NEAR(moved, 1000, 150);
 }
 
-int differing(const std::vector<ReplicaId>& a, const std::vector<ReplicaId>& b) {
-  int n = 0;
-  for (std::size_t i = 0; i < a.size(); ++i) n += a[i] != b[i];
-  return n;
+int count_differences(const std::vector<ReplicaId>& first, const std::vector<ReplicaId>& second) {
+  int differences = 0;
+  for (std::size_t i = 0; i < first.size(); ++i) differences += first[i] != second[i];
+  return differences;
 }
 
 TEST(SlotTable, IsTheSameForTheSameListInAnyOrder) {
   auto replicas = ready_replicas(9);
   for (std::size_t i = 0; i < replicas.size(); ++i)
     replicas[i].started_at = 10.0 + static_cast<double>((i * 5) % 9);
-  ScriptedRouter a(test_settings()), b(test_settings(), 77);
-  a.list(ListKind::cached, replicas);
+  ScriptedRouter first(test_settings()), second(test_settings(), 77);
+  first.list(ListKind::cached, replicas);
   std::reverse(replicas.begin(), replicas.end());
-  b.list(ListKind::cached, replicas);
-  EXPECT_EQ(placements(a), placements(b));
+  second.list(ListKind::cached, replicas);
+  EXPECT_EQ(placements(first), placements(second));
 }
 
-TEST(SlotTable, AJoinerTakesOnlyItsOwnPartOfTheKeys) {
+TEST(SlotTable, ANewReplicaGetsOnlyItsShareOfTheKeys) {
   ScriptedRouter router(test_settings());
   router.list(ListKind::cached, ready_replicas(9));
   const auto before = placements(router);
   router.list(ListKind::delta, {warm_replica(3, 1.0)});  // a low id: order by id would shift every slot
   const auto after = placements(router);
   for (std::size_t i = 0; i < before.size(); ++i) EXPECT_TRUE(before[i] == after[i] || after[i] == 3u);
-  EXPECT_NEAR(differing(before, after), 20, 15);
+  EXPECT_NEAR(count_differences(before, after), 20, 15);
 }
 
-// A leaver in mid-order must not shift the slots behind it.
+// A replica that leaves from the middle of the order must not shift the slots after its own.
 TEST(SlotTable, AReplicaThatLeavesMovesOnlyItsOwnKeys) {
   ScriptedRouter router(test_settings());
   const auto replicas = ready_replicas(9);
   router.list(ListKind::cached, replicas);
   const auto before = placements(router);
-  Replica gone = replicas[3];
-  gone.health = Health::gone;
-  router.list(ListKind::delta, {gone});
+  Replica removed = replicas[3];
+  removed.health = Health::gone;
+  router.list(ListKind::delta, {removed});
   const auto after = placements(router);
   for (std::size_t i = 0; i < before.size(); ++i) {
-    if (before[i] != gone.id) {
+    if (before[i] != removed.id) {
       EXPECT_EQ(before[i], after[i]);
     }
-    EXPECT_NE(after[i], gone.id);
+    EXPECT_NE(after[i], removed.id);
   }
 }
 
@@ -128,11 +128,12 @@
   const auto replicas = ready_replicas(9);
   router.list(ListKind::cached, replicas);
   const auto before = placements(router);
-  Replica gone = replicas[3];
-  gone.health = Health::gone;
-  router.list(ListKind::delta, {gone, warm_replica(5, 1.0)});
+  Replica removed = replicas[3];
+  removed.health = Health::gone;
+  router.list(ListKind::delta, {removed, warm_replica(5, 1.0)});
   const auto after = placements(router);
-  for (std::size_t i = 0; i < before.size(); ++i) EXPECT_EQ(after[i], before[i] == gone.id ? 5u : before[i]);
+  for (std::size_t i = 0; i < before.size(); ++i)
+    EXPECT_EQ(after[i], before[i] == removed.id ? 5u : before[i]);
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -13,8 +13,8 @@
 
 using namespace testing_support;
 
-// What a replica that started at time 0 gets at these times, as a part of the load under which it falls: the
-// worst over all windows of fall_s. usual_rate: attempts a second that a warm replica carries.
+// The maximum load of a replica that started at time 0 and gets attempts at these times, over all windows of
+// fall_s, as a fraction of the load at which it fails. usual_rate: attempts per second of a warm replica.
 double worst_overload(std::vector<double> times, const Settings& settings, double usual_rate) {
   std::sort(times.begin(), times.end());
   double worst = 0.0;
@@ -28,7 +28,8 @@
   return worst;
 }
 
-// Routers of a fleet that all learn of the same start; the sum of what they send must stay within the budget.
+// All routers of a fleet learn of the same replica start. Returns the worst_overload of that replica by the
+// attempts of all routers together.
 double overload_of_one_joiner(int routers, int warm, double rate_each, double seconds) {
   constexpr double kStart = 100.0, kSecondsBefore = 10.0;
   constexpr ReplicaId kJoiner = 4;
@@ -48,9 +49,9 @@
       router.run_to(time_of(i));
       if (i == before) router.list(ListKind::delta, {warm_replica(kJoiner, router.now)});
       router.receive(new_request(id, static_cast<std::uint64_t>(number) * 100000 + id));
-      // Every warm replica fails for a while, so that retries press on the cold one too.
-      if (i % 3 == 0) router.respond(id, 0, Outcome::error, false);
-      router.accept(id, static_cast<std::uint32_t>(router.attempts_sent[id] - 1));
+      // A third of the first attempts fail, so that retries add load to the cold replica too.
+      if (i % 3 == 0) router.end_attempt(id, 0, Outcome::error, false);
+      router.receive_first_event(id, static_cast<std::uint32_t>(router.attempts_sent[id] - 1));
     }
     for (const Action& action : router.actions(Action::attempt)) {
       if (action.replica == kJoiner)
@@ -60,22 +61,22 @@
   return worst_overload(std::move(times), settings, routers * rate_each / warm);
 }
 
-TEST(SlowStart, OneRouterWithFewReplicasKeepsTheBudget) {
+TEST(SlowStart, OneRouterWithThreeReplicasStaysWithinTheBudget) {
   EXPECT_LT(overload_of_one_joiner(1, 3, 60.0, 10.0), 1.0);
 }
 
-TEST(SlowStart, ManyRoutersKeepTheBudgetTogether) {
+TEST(SlowStart, ManyRoutersTogetherStayWithinTheBudget) {
   EXPECT_LT(overload_of_one_joiner(40, 6, 2.0, 10.0), 1.0);
 }
 
-// A large fleet in which joiners are cold: of 100 routers only some are alive or have traffic, and what they
-// see together is the same. The most that a joiner got in its window, as a part of what it falls under, and
-// the mean number that one got in the first seconds, as a part of what it could do.
+// The result of cold_join. worst: the maximum load of a new replica, as a fraction of the load at which it
+// fails. used: the mean load of the new replicas in the first seconds, as a fraction of their capacity.
 struct ColdJoin {
   double worst = 0.0, used = 0.0;
 };
 
-// uneven: some routers get ten times the requests of others.
+// Cold replicas join a large fleet. Of 100 routers only `alive` have traffic; the total traffic is always the
+// same. uneven: some routers get ten times the requests of others.
 ColdJoin cold_join(int alive, int warm, int joiners, double seconds, bool uneven = false) {
   Settings settings = test_settings();
   settings.balancers = std::max(100, alive);
@@ -83,46 +84,48 @@
   settings.cold_s = 8.9;
   settings.fall_multiple = 2.5;
   settings.fall_s = 3.0;
-  const double all = 180.0, carried = all / 40 * 1.5;  // a fleet of 40 at two thirds
-  const auto weight = [uneven](int r) { return uneven ? 1.0 / (1 + r % 10) : 1.0; };
-  double weights = 0.0;
-  for (int r = 0; r < alive; ++r) weights += weight(r);
-  std::map<ReplicaId, std::vector<double>> sent;
-  for (int r = 0; r < alive; ++r) {
-    ScriptedRouter router(settings, 1000 + static_cast<std::uint64_t>(r));
+  // Requests per second in total, and the capacity of a replica: a fleet of 40 has a load of two thirds.
+  const double total_rate = 180.0, capacity = total_rate / 40 * 1.5;
+  const auto weight = [uneven](int number) { return uneven ? 1.0 / (1 + number % 10) : 1.0; };
+  double total_weight = 0.0;
+  for (int number = 0; number < alive; ++number) total_weight += weight(number);
+  std::map<ReplicaId, std::vector<double>> sent;  // times of attempts since the start, by new replica
+  for (int number = 0; number < alive; ++number) {
+    ScriptedRouter router(settings, 1000 + static_cast<std::uint64_t>(number));
     router.list(ListKind::cached, ready_replicas(40));
-    const double each = all * weight(r) / weights;
-    const double from = router.now, join = from + 20.0 + r % 10 * 0.1;  // each learns of it a little later
-    double at = from + 1.0 / each * r / alive;
-    for (bool joined = false; at < join + seconds; at += 1.0 / each) {
-      router.run_to(at);
-      if (!joined && at >= join) {
-        joined = true;
-        std::vector<Replica> now;
-        for (const Replica& replica : ready_replicas(warm)) now.push_back(replica);
-        for (int i = 0; i < joiners; ++i) now.push_back(warm_replica(1 + i, from + 20.0));
-        router.list(ListKind::full, now);
+    const double rate = total_rate * weight(number) / total_weight;
+    // The routers learn of the start up to 0.9 s late.
+    const double begin = router.now, list_time = begin + 20.0 + number % 10 * 0.1;
+    double time = begin + 1.0 / rate * number / alive;
+    for (bool listed = false; time < list_time + seconds; time += 1.0 / rate) {
+      router.run_to(time);
+      if (!listed && time >= list_time) {
+        listed = true;
+        std::vector<Replica> replicas;
+        for (const Replica& replica : ready_replicas(warm)) replicas.push_back(replica);
+        for (int i = 0; i < joiners; ++i) replicas.push_back(warm_replica(1 + i, begin + 20.0));
+        router.list(ListKind::full, replicas);
       }
       const RequestId id = router.next_id++;
-      router.receive(new_request(id, scrambled(id * 100 + r)));
+      router.receive(new_request(id, scrambled(id * 100 + number)));
       for (const Action& action : router.actions(Action::attempt, id)) {
-        if (action.replica <= 40) sent[action.replica].push_back(at - from - 20.0);
+        if (action.replica <= 40) sent[action.replica].push_back(time - begin - 20.0);
       }
       if (router.attempts_sent[id] == 0) continue;
-      router.accept(id, 0);
-      router.respond(id, 0, Outcome::ok, true);
+      router.receive_first_event(id, 0);
+      router.end_attempt(id, 0, Outcome::ok, true);
       router.log.clear();
     }
   }
-  ColdJoin out;
+  ColdJoin result;
   for (const auto& [replica, times] : sent) {
-    out.worst = std::max(out.worst, worst_overload(times, settings, carried));
-    out.used += static_cast<double>(times.size()) / (carried * 0.5 * seconds) / joiners;
+    result.worst = std::max(result.worst, worst_overload(times, settings, capacity));
+    result.used += static_cast<double>(times.size()) / (capacity * 0.5 * seconds) / joiners;
   }
-  return out;
+  return result;
 }
 
-TEST(SlowStart, JoinersOfALargeFleetGetWorkAndNoneIsOverloaded) {
+TEST(SlowStart, NewReplicasOfALargeFleetGetWorkAndNoneIsOverloaded) {
   for (const int alive : {100, 30, 5}) {
     for (const int joiners : {24, 2}) {
       const ColdJoin join = cold_join(alive, 40 - joiners, joiners, 6.0);
@@ -132,24 +135,25 @@
   }
 }
 
-TEST(SlowStart, AZoneThatComesBackColdAlmostAloneIsNotOverloaded) {
+// Of 40 replicas only four warm and four cold ones are left.
+TEST(SlowStart, AColdZoneThatIsHalfOfTheRemainingFleetIsNotOverloaded) {
   for (const int alive : {100, 5}) EXPECT_LT(cold_join(alive, 4, 4, 6.0).worst, 1.0) << alive << " routers";
 }
 
-TEST(SlowStart, ThreeHundredRoutersWithUnevenTrafficOverloadNothing) {
-  const ColdJoin zone = cold_join(300, 20, 20, 6.0, true), few = cold_join(300, 38, 2, 6.0, true);
+TEST(SlowStart, ThreeHundredRoutersWithUnevenTrafficOverloadNoReplica) {
+  const ColdJoin zone = cold_join(300, 20, 20, 6.0, true), two = cold_join(300, 38, 2, 6.0, true);
   EXPECT_LT(zone.worst, 1.0);
-  EXPECT_LT(few.worst, 1.0);
+  EXPECT_LT(two.worst, 1.0);
   EXPECT_GT(zone.used, 0.35);
-  EXPECT_GT(few.used, 0.35);
+  EXPECT_GT(two.used, 0.35);
   std::printf(
-      "a zone back cold: %.2f of what it could do used, %.2f of the budget at most; two joiners: %.2f, "
+      "a cold zone: %.2f of its capacity used, at most %.2f of the overload limit; two new replicas: %.2f, "
       "%.2f\n",
-      zone.used, zone.worst, few.used, few.worst);
+      zone.used, zone.worst, two.used, two.worst);
 }
 
-// After a shrink, what is remembered of arrivals was carried by the larger fleet; taken as the few survivors'
-// usual share it let a cold one be sent several times what it could do.
+// After the fleet has shrunk, the measured arrival rate is still that of the larger fleet. When it was
+// divided among the remaining replicas only, a cold replica was sent several times its capacity.
 TEST(SlowStart, AShrunkFleetDoesNotInflateTheBudget) {
   Settings settings = test_settings();
   settings.cold_from = 0.1;
@@ -179,8 +183,9 @@
   EXPECT_LE(sent[1], static_cast<std::size_t>(0.5 * 3.0 * 0.18 * (100.0 / 12.0) * 2.0 + 3.0));
 }
 
-// While a slow release has most replicas down, arrivals over those few left overstate what one can carry.
-TEST(SlowStart, AReleaseThatEmptiesTheFleetDoesNotInflateTheBudget) {
+// While a slow rollout has most replicas down, the arrival rate per remaining replica overstates the capacity
+// of a replica.
+TEST(SlowStart, ARolloutThatRemovesMostReplicasDoesNotInflateTheBudget) {
   Settings settings = test_settings();
   settings.cold_from = 0.1;
   ScriptedRouter router(settings);
@@ -202,11 +207,11 @@
     }
     router.balancer.on_client_disconnected(router.now, id, router);
   }
-  // 100 a second over 10 replicas, at most 3 times a share of 0.1 to 0.18, for 2 s
+  // 100 requests per second over 10 replicas, at most 3 times a warm share of 0.1 to 0.18, for 2 s.
   EXPECT_LE(sent, static_cast<std::size_t>(3.0 * 0.14 * 10.0 * 2.0));
 }
 
-TEST(SlowStart, BeginsAnewWhenAReplicaRestarts) {
+TEST(SlowStart, StartsAgainWhenAReplicaRestarts) {
   ScriptedRouter router(test_settings());
   auto replicas = ready_replicas(2);
   router.list(ListKind::cached, replicas);
@@ -214,8 +219,8 @@
   replicas[0].started_at = router.now;
   router.list(ListKind::delta, {replicas[0]});
   const auto after = placements(router, 400);
-  const auto n = std::count(after.begin(), after.end(), replicas[0].id);
-  EXPECT_LT(n, std::count(before.begin(), before.end(), replicas[0].id) / 3);
+  const auto keys_after = std::count(after.begin(), after.end(), replicas[0].id);
+  EXPECT_LT(keys_after, std::count(before.begin(), before.end(), replicas[0].id) / 3);
 }
 
 }  // namespace
--- a/tests/policy/timer_cookie_test.cpp
+++ b/tests/policy/timer_cookie_test.cpp
@@ -5,7 +5,7 @@
 namespace flintglade::policy {
 namespace {
 
-TEST(TimerCookie, CarriesThePurposeAndTheRequest) {
+TEST(TimerCookie, ContainsTheKindAndTheRequest) {
   constexpr RequestId kLargestId = (RequestId{1} << kTimerKindShift) - 1;
   for (const TimerKind kind :
        {TimerKind::deadline, TimerKind::hedge, TimerKind::held_request, TimerKind::endpoint_list}) {
--- a/tests/policy/zone_preference_test.cpp
+++ b/tests/policy/zone_preference_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace testing_support;
 
-TEST(ZonePreference, AnOwnZoneThatIsTooSmallForItsTrafficSendsTheRestAcross) {
+TEST(ZonePreference, TrafficBeyondTheCapacityOfTheOwnZoneGoesToOtherZones) {
   Settings settings = test_settings();
   settings.zones = 2;
   settings.zone = 1;
@@ -22,14 +22,14 @@
   int own = 0;
   for (RequestId id = 1; id <= 180; ++id) {
     router.receive(new_request(id, scrambled(id)));
-    router.accept(id, 0);
+    router.receive_first_event(id, 0);
     own += router.actions(Action::attempt, id)[0].replica <= replicas[2].id;
   }
-  EXPECT_GT(own, 60);   // its due by size and more
-  EXPECT_LT(own, 110);  // but not all that a third of the fleet would choke on
+  EXPECT_GT(own, 60);   // more than its share by size
+  EXPECT_LT(own, 110);  // but not all: a third of the fleet would be overloaded
 }
 
-TEST(ZonePreference, TheOwnZoneComesFirstWhereCrossingIsExpensive) {
+TEST(ZonePreference, TheOwnZoneIsPreferredIfCrossingIsExpensive) {
   for (const double price : {0.1, 0.01}) {
     Settings settings = test_settings();
     settings.zones = 2;
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(ZonePreference, AllZonesServeWhenTheOwnCannotCarryItsKeys) {
+TEST(ZonePreference, AllZonesServeIfTheOwnZoneLacksCapacityForItsKeys) {
   Settings settings = test_settings();
   settings.zones = 2;
   settings.zone = 1;
@@ -64,15 +64,16 @@
   EXPECT_GT(std::count(at.begin(), at.end(), replicas[1].id), 30);
 }
 
-// Seen with 300 routers: a zone with more traffic than its replicas can carry had first tokens after 5 to 8 s
-// while the others were idle, and its routers rejected four in ten requests rather than let them cross.
-TEST(ZonePreference, LateAnswersOfTheOwnZoneLetKeysCrossBeforeAnyIsRejected) {
+// Guards against a failure seen with 300 routers: in a zone with more traffic than its replicas had capacity
+// for, first tokens took 5 to 8 s while other zones were idle, and its routers rejected four in ten requests
+// instead of sending them to other zones.
+TEST(ZonePreference, LateAnswersFromTheOwnZoneLetKeysCrossBeforeRequestsAreRejected) {
   Settings settings = test_settings();
   settings.zones = 4;
   settings.price_cross_zone = 0.1;
   settings.balancers = 300;
   settings.may_duplicate = false;
-  for (const double own_takes : {2.0, 0.1}) {
+  for (const double own_zone_latency : {2.0, 0.1}) {
     ScriptedRouter router(settings);
     auto replicas = ready_replicas(20);
     std::set<ReplicaId> own;
@@ -82,7 +83,7 @@
     }
     router.list(ListKind::cached, replicas);
     int crossed = 0, rejected = 0;
-    for (RequestId id = 1; id <= 120; ++id) {  // as seldom as a router of so many sees one
+    for (RequestId id = 1; id <= 120; ++id) {  // one request per 2.5 s, the rate of one router in 300
       router.run_to(100.0 + static_cast<double>(id) * 2.5);
       router.receive(new_request(id, scrambled(id)));
       const auto sent = router.actions(Action::attempt, id);
@@ -90,11 +91,11 @@
       if (sent.empty()) continue;
       const bool crosses = own.count(sent[0].replica) == 0;
       if (id > 60) crossed += crosses;
-      router.run_to(router.now + (crosses ? 0.1 : own_takes));
-      router.accept(id, 0);
-      router.respond(id, 0, Outcome::ok, true);
+      router.run_to(router.now + (crosses ? 0.1 : own_zone_latency));
+      router.receive_first_event(id, 0);
+      router.end_attempt(id, 0, Outcome::ok, true);
     }
-    if (own_takes > 1.0) {
+    if (own_zone_latency > 1.0) {
       EXPECT_GT(crossed, 25);
       EXPECT_LT(rejected, 20);
     } else {
--- a/tests/settings.h
+++ b/tests/settings.h
@@ -1,5 +1,5 @@
-// The settings (GW_CONFIG) that tests of whole routers use: one class of idempotent requests, one of such
-// that are not.
+// The settings (GW_CONFIG) for tests of complete routers: one class of idempotent requests (chat) and one of
+// requests that are not idempotent (order).
 #pragma once
 
 namespace flintglade::tests {
