--- a/include/flintglade/policy/balancer.h
+++ b/include/flintglade/policy/balancer.h
@@ -45,6 +45,7 @@
   live,     // decrease with the current load
 };
 
+// The state of a replica in the endpoint list. gone: it has been removed from the list.
 enum class Health : std::uint8_t { gone = 0, ready = 1, draining = 2 };
 
 // The kind of an endpoint list. The numbers are those of the simulator's protocol, as in Health and Outcome.
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -70,7 +70,8 @@
 }
 
 // The result of cold_join. worst: the maximum load of a new replica, as a fraction of the load at which it
-// fails. used: the mean load of the new replicas in the first seconds, as a fraction of their capacity.
+// fails. used: the mean load of the new replicas in the first seconds, as a fraction of their mean capacity
+// while cold, assumed to be half of that of a warm replica.
 struct ColdJoin {
   double worst = 0.0, used = 0.0;
 };
