--- a/src/core/actions.h
+++ b/src/core/actions.h
@@ -43,11 +43,11 @@
   // What was collected since the last call, in order.
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
-  void attempt(RequestId id, ReplicaId replica, double allow_for) override {
-    actions_.emplace_back(StartAttempt{id, replica, allow_for});
+  void attempt(RequestId id, ReplicaId replica, double attempt_timeout) override {
+    actions_.emplace_back(StartAttempt{id, replica, attempt_timeout});
   }
-  void reject(RequestId id, double not_before_for) override {
-    actions_.emplace_back(RejectRequest{id, not_before_for});
+  void reject(RequestId id, double retry_after) override {
+    actions_.emplace_back(RejectRequest{id, retry_after});
   }
   void fail(RequestId id) override { actions_.emplace_back(FailRequest{id}); }
   void stop_attempt(RequestId id, std::uint16_t attempt) override {
--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -94,7 +94,7 @@
   const Micros left = request->deadline - context_.now;
   if (request->closed() || request->streaming() || left <= 0) {
     // Never sent; the module learns it in the next iteration.
-    context_.events.emplace_back(AttemptEnded{id, Outcome::moot, 0, {}});
+    context_.events.emplace_back(AttemptEnded{id, Outcome::inconclusive, 0, {}});
     return;
   }
   ++context_.counters.attempts;
@@ -192,7 +192,7 @@
   result.outcome = outcome;
   result.latency = to_seconds(context_.now - attempt.started_at);
   result.closed = request.closed();
-  result.note = cached_tokens;
+  result.cached_tokens = cached_tokens;
   result.report = std::move(report);
   context_.module.on_attempt_result(context_.now_seconds(), result, context_.actions);
   context_.requests.mark_if_finished(id.request, request);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -121,7 +121,7 @@
   r.outcome = read_outcome(f);
   r.latency = f.get<double>();
   r.closed = f.get<std::uint8_t>() != 0;
-  r.note = f.get<std::uint32_t>();
+  r.cached_tokens = f.get<std::uint32_t>();
   r.report = f.report();
   return r;
 }
@@ -250,17 +250,17 @@
   ++records_;
 }
 
-void ReplyWriter::attempt(RequestId id, ReplicaId replica, double allow_for) {
+void ReplyWriter::attempt(RequestId id, ReplicaId replica, double attempt_timeout) {
   begin(65, 22);
   put(bytes_, id);
   put_worker(bytes_, replica);
-  put(bytes_, allow_for);
+  put(bytes_, attempt_timeout);
 }
 
-void ReplyWriter::reject(RequestId id, double not_before_for) {
+void ReplyWriter::reject(RequestId id, double retry_after) {
   begin(66, 16);
   put(bytes_, id);
-  put(bytes_, not_before_for);
+  put(bytes_, retry_after);
 }
 
 void ReplyWriter::fail(RequestId id) {
