--- a/src/membership/gossip_buffer.cpp
+++ b/src/membership/gossip_buffer.cpp
@@ -7,7 +7,7 @@
 namespace flintglade::membership {
 namespace {
 
-// Tag and length of a nested message in a packet.
+// Protobuf tag and length prefix of an update nested in a packet.
 constexpr std::size_t kUpdateOverheadBytes = 4;
 
 }  // namespace
--- a/src/membership/peer.cpp
+++ b/src/membership/peer.cpp
@@ -3,7 +3,7 @@
 namespace flintglade::membership {
 namespace {
 
-// Higher ones can't have been reached: a router raises its incarnation by one for each suspicion it refutes.
+// No router reaches a higher incarnation: it is raised by one for each refuted suspicion.
 constexpr std::uint64_t kMaxIncarnation = 1ull << 40;
 constexpr std::uint64_t kMaxBirth = 4'102'444'800'000'000;  // the year 2100, in microseconds of Unix time
 
@@ -26,7 +26,7 @@
 
 bool is_newer(const coordination::MemberState& update, const Peer& known) {
   if (update.birth() != known.birth) return update.birth() > known.birth;
-  // A member that left or died comes back by a new incarnation or a new birth only.
+  // A member that left or was declared dead rejoins only with a higher incarnation or a later birth.
   if (update.incarnation() != known.incarnation) return update.incarnation() > known.incarnation;
   return severity(update.standing()) > severity(known.standing);
 }
--- a/src/membership/peer.h
+++ b/src/membership/peer.h
@@ -1,8 +1,8 @@
-// What a router knows of another router of its fleet, and which of two statements about one is newer.
+// State of a fleet member as known to a router, and the rule for which of two updates about it is newer.
 //
-// Each process that runs under a router's name has a `birth`; within one process, a router raises its
-// incarnation to refute a suspicion. The later birth counts, then the higher incarnation, then the worse
-// status.
+// `birth` is the start time of a router's process and distinguishes successive processes under one router
+// name. Within one process, a router raises its incarnation to refute a suspicion. The update with the later
+// birth is newer, then the one with the higher incarnation, then the one with the worse status.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,31 @@
 using coordination::MemberStatus;
 using core::Micros;
 
-// This router, as it introduces itself.
+// The identity that this router announces to other members.
 struct Self {
   std::string name;
   std::string site;
-  std::string at;           // ADDRESS:PORT at which others reach this router
-  std::uint64_t birth = 0;  // microseconds of Unix time at the start of the process
+  std::string at;           // ADDRESS:PORT that other members send datagrams to
+  std::uint64_t birth = 0;  // start time of the process, in microseconds of Unix time
 };
 
 struct Peer {
   std::string name, site, at;
   std::uint64_t birth = 0, incarnation = 0;
   MemberStatus standing = coordination::ALIVE;
-  Micros since = 0;           // when it got this status
-  std::uint32_t version = 0;  // of its program
+  Micros since = 0;           // when `standing` last changed, on this router's clock
+  std::uint32_t version = 0;  // protocol version of the member's program (kVersion)
   bool operator==(const Peer&) const = default;
 };
 
-// The peer as it stands in a packet.
+// The peer's state as a packet carries it.
 coordination::MemberState word_of(const Peer& peer);
-// Whether the update is newer than what is known.
+// Whether the update supersedes the known state.
 bool is_newer(const coordination::MemberState& update, const Peer& known);
-// Whether it can come from a sound router: lengths, an address, a birth and an incarnation within reason.
+// Whether a correctly working router could have sent the update: checks the lengths of names, the form of
+// the address, and the ranges of birth, incarnation and status.
 bool is_plausible(const coordination::MemberState& update);
-// Whether the member takes part: it is alive, or only suspected.
+// Whether the member still counts as part of the fleet: it is alive, or suspected but not yet declared dead.
 bool is_living(MemberStatus status);
 
 inline constexpr std::size_t kMaxNameBytes = 64;
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,7 +1,7 @@
-// Suspicions of members that did not answer: how long each lasts before the member is declared dead.
+// Suspicions of members that did not answer a probe: how long each lasts before the member is declared dead.
 //
-// A suspicion starts at its longest and shrinks with each further member that reports the same one
-// (Lifeguard, section IV-B). Pure; times are handed in.
+// A suspicion starts with the maximum timeout, which shrinks with each further member that reports the same
+// suspicion (Lifeguard, section IV-B). Pure; the caller passes in times.
 #pragma once
 
 #include <set>
@@ -13,22 +13,22 @@
 
 using core::Micros;
 
-// Further members after the first that shorten a suspicion to its minimum.
+// Number of reporters beyond the first that reduces a suspicion's timeout to its minimum.
 inline constexpr int kConfirmationsForMinimum = 3;
 
-// The bounds of a suspicion's length, both in microseconds.
+// Bounds of a suspicion's timeout, in microseconds.
 struct SuspicionBounds {
   double minimum = 0.0;
   double maximum = 0.0;
 };
 
 struct Suspicion {
-  std::string reported_by;          // the member that was first to suspect
-  std::set<std::string> reporters;  // all that did
-  Micros ends = 0;                  // the member is dead then, unless it refutes
+  std::string reported_by;          // the first member that reported the suspicion
+  std::set<std::string> reporters;  // all members that reported it
+  Micros ends = 0;                  // when the member is declared dead unless it refutes the suspicion
 };
 
-// The length of a suspicion that this many members have reported.
+// Timeout of a suspicion that `reporters` members have reported.
 double suspicion_length(const SuspicionBounds& bounds, std::size_t reporters);
 
 }  // namespace flintglade::membership
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -7,23 +7,25 @@
 namespace flintglade::membership {
 namespace {
 
-constexpr int kMaxHealthPenalty = 8;  // Lifeguard's paper uses the same bound
+constexpr int kMaxHealthPenalty = 8;  // as in the Lifeguard paper
 constexpr std::size_t kMaxIndirectProbes = 64;
-// Between two answers with the whole member list: many requests may come at once after a partition.
+// Minimum time between two answers with the full member list: many requests may arrive at once after a
+// partition.
 constexpr Micros kMinListAnswerInterval = 100 * core::kMilli;
-// A tick that comes later than this many periods means that the process was suspended.
+// A gap of more than this many periods between ticks means that the process was suspended.
 constexpr int kLateTickPeriods = 2;
-// Bytes of a datagram that are left free for the tags and lengths of its updates.
+// Bytes of each datagram reserved for the protobuf tags and lengths of its updates.
 constexpr std::size_t kPacketOverheadBytes = 8;
-// A member's update has three names and an address at most, each of kMaxNameBytes.
+// An update has at most three names and an address, each of at most kMaxNameBytes.
 constexpr std::size_t kMaxUpdateBytes = kMaxNameBytes * 4;
-constexpr int kRivalPeriods = 3;  // for a rival's answer
-// A flood of forged names gets no more than that: so many names at a time, and so many requests each.
+constexpr int kRivalPeriods = 3;  // timeout of the ping to another process with this router's name
+// Bounds on the packets sent in response to forged names: pending requests, and transmissions of each.
 constexpr std::size_t kMaxIntroductionRequests = 64;
 constexpr int kIntroductionRequestTries = 5;
-constexpr int kIntroductions = 4;               // to all members, one each period
-constexpr int kIntroductionSeriesPeriods = 10;  // from the first one on until there may be more
-// Next exchange while a dead member is known: the end of a partition is to be noticed soon.
+constexpr int kIntroductions = 4;  // rounds of introductions to all members in a series, one each period
+constexpr int kIntroductionSeriesPeriods = 10;  // minimum time between the starts of two series
+// Time until the next exchange while the table holds a dead member, so that the end of a partition is
+// detected soon.
 constexpr int kExchangePeriodsWithDeadMembers = 2;
 
 }  // namespace
@@ -57,7 +59,7 @@
 
 void Swim::start(Micros now) {
   last_tick_ = now;
-  // Hundreds of routers that start at once do not probe at once.
+  // Random, so that routers that start at the same time do not probe at the same time.
   next_probe_ = now + random_span(0, settings_.period);
   next_exchange_ = now;
   spread_own_state();
@@ -87,14 +89,14 @@
   if (!probe_.name.empty() && !probe_.indirect && now >= probe_.indirect_at) send_indirect_probes();
   if (!probe_.name.empty() && now >= probe_.ends) end_probe(now, false);
   expire_suspicions(now);
-  if (rival_.birth != 0 && now >= rival_.ends) outlive_silent_rival(now);
+  if (rival_.birth != 0 && now >= rival_.ends) take_name_from_silent_rival(now);
   if (now >= next_probe_) start_probe(now);
   if (now >= next_exchange_) exchange_members(now);
   if (now >= next_introduction_) introduce_to_all(now);
   repeat_introduction_requests(now);
 }
 
-// A process that was suspended has heard nobody: that nobody answered says nothing about them.
+// A suspended process received no packets, so missing answers are no evidence that members have failed.
 void Swim::forgive_missed_answers(Micros late) {
   ++counters_.late_ticks;
   probe_ = {};
@@ -154,8 +156,9 @@
   }
 }
 
-// A later process of our name that does not answer was our own, begun under a clock that ran ahead.
-void Swim::outlive_silent_rival(Micros) {
+// A process with this router's name and a later birth that does not answer is an earlier process of this
+// router, started while its clock ran ahead. Takes a still later birth, which supersedes it.
+void Swim::take_name_from_silent_rival(Micros) {
   self_.birth = std::max(self_.birth, rival_.birth + 1);
   incarnation_ = 1;
   rival_ = {};
@@ -188,7 +191,7 @@
   }
 }
 
-// Lifeguard: a member that gets neither an answer nor a word from all helpers may itself be the one at fault.
+// Lifeguard: if neither the target answers nor all helpers send a nack, this member itself may be at fault.
 void Swim::end_probe(Micros now, bool answered) {
   const Probe ended = std::exchange(probe_, {});
   if (answered) return adjust_health(-1);
@@ -206,7 +209,7 @@
 
 void Swim::forget_dead_members(Micros now) {
   for (auto it = peers_.begin(); it != peers_.end();) {
-    if (is_living(it->second.standing) || now - it->second.since <= settings_.forget) {
+    if (is_living(it->second.standing) || now - it->second.since <= settings_.dead_member_ttl) {
       ++it;
       continue;
     }
@@ -221,10 +224,10 @@
   }
 }
 
-// With one living member, and with a dead one or a seed: two halves of a fleet that each took the other for
-// dead would never meet again otherwise.
+// Exchanges member lists with one live member and with one dead member or seed. Without the latter, two sides
+// of a partition that had declared each other dead would never rejoin.
 void Swim::exchange_members(Micros now) {
-  next_exchange_ = now + settings_.sync / 2 + random_span(0, settings_.sync);
+  next_exchange_ = now + settings_.exchange_interval / 2 + random_span(0, settings_.exchange_interval);
   forget_dead_members(now);
   std::vector<const Peer*> living;
   std::vector<const Peer*> dead;
@@ -240,8 +243,8 @@
   const Peer* partner = random_item(living);
   send_all_members(partner->at, partner->name, true);
   if (!dead.empty()) {
-    const Peer* lost = random_item(dead);
-    send_all_members(lost->at, lost->name, true);
+    const Peer* dead_member = random_item(dead);
+    send_all_members(dead_member->at, dead_member->name, true);
     next_exchange_ = std::min(next_exchange_, now + kExchangePeriodsWithDeadMembers * settings_.period);
   } else if (!settings_.seeds.empty()) {
     const std::string seed = random_item(settings_.seeds);
@@ -250,8 +253,8 @@
 }
 
 SuspicionBounds Swim::suspicion_bounds() const {
-  const double minimum = settings_.suspicion * log_of_size() * static_cast<double>(settings_.period);
-  return {minimum, minimum * settings_.suspicion_most};
+  const double minimum = settings_.suspicion_factor * log_of_size() * static_cast<double>(settings_.period);
+  return {minimum, minimum * settings_.max_suspicion_factor};
 }
 
 void Swim::suspect(Micros now, Peer& peer, const std::string& reported_by) {
@@ -277,7 +280,7 @@
   const bool sender_is_unknown = is_unknown(received);
   for (const coordination::MemberState& update : received.words()) apply(now, update);
   if (received.from() == self_.name) return receive_from_own_name(from, received);
-  remind_of_its_status(received.from(), received.birth());
+  report_status_to_member(received.from(), received.birth());
   switch (received.what_case()) {
     case coordination::Packet::kPing:
       acknowledge(from, received.from(), received.ping().number(), received.from());
@@ -300,11 +303,11 @@
         send_all_members(from, received.from(), false);
       }
       break;
-    default:  // not of this protocol: the coordination protocol's own
+    default:  // a packet of the coordination protocol
       break;
   }
-  // After the answer, which may hold the list of those whom the sender is to introduce itself to. The state
-  // that came with this packet, if any, is known to nobody else.
+  // Sent after the answer, which may contain the list of members that the sender then introduces itself to.
+  // Asked even if the packet carried the sender's state, since other members may not have received that.
   if (sender_is_unknown) request_introduction(now, from, received.from());
 }
 
@@ -313,7 +316,8 @@
     ++counters_.other_fleet;
     return false;
   }
-  // A restart may have given an address to another name. An older process of our name means us all the same.
+  // After a restart another member may use the address that the packet was sent to. Packets for an earlier
+  // process with this router's name are accepted.
   const bool for_us = packet.to().empty() || packet.to() == self_.name;
   if (!for_us || packet.from().empty() || packet.from().size() > kMaxNameBytes) {
     ++counters_.not_for_us;
@@ -326,7 +330,7 @@
   if (packet.birth() > self_.birth && packet.what_case() == coordination::Packet::kAck &&
       packet.ack().number() == rival_.number) {
     displaced_ = true;
-  } else if (packet.what_case() == coordination::Packet::kPing) {  // an earlier process of this name asks
+  } else if (packet.what_case() == coordination::Packet::kPing) {  // from an earlier process with this name
     acknowledge(from, packet.from(), packet.ping().number(), "");
   }
 }
@@ -356,16 +360,17 @@
   send(request.at(), std::move(ping), request.name());
 }
 
-// A packet of a member that is held for dead or suspected proves that it lives, but not that others reach it.
-// It is told what is said of it, so that it can refute that. A process whose name another one has taken is
-// told of that one.
-void Swim::remind_of_its_status(const std::string& name, std::uint64_t birth) {
+// A packet from a member listed as dead or suspected proves that it is alive, but not that other members can
+// reach it. Its listed status is sent to it, so that it can refute it. A process whose name a later process
+// has taken is notified of that process.
+void Swim::report_status_to_member(const std::string& name, std::uint64_t birth) {
   const auto it = peers_.find(name);
   if (it == peers_.end() || birth == 0) return;
-  const bool is_replaced = birth < it->second.birth;
-  const bool is_doubted = birth == it->second.birth && (it->second.standing == coordination::DEAD ||
-                                                        it->second.standing == coordination::SUSPECT);
-  if (is_replaced || is_doubted) gossip_.add(word_of(it->second));
+  const bool is_displaced = birth < it->second.birth;
+  const bool is_listed_as_failed =
+      birth == it->second.birth &&
+      (it->second.standing == coordination::DEAD || it->second.standing == coordination::SUSPECT);
+  if (is_displaced || is_listed_as_failed) gossip_.add(word_of(it->second));
 }
 
 bool Swim::is_unknown(const coordination::Packet& packet) const {
@@ -376,12 +381,13 @@
 
 void Swim::note_sender(Micros now, const std::string& address, const coordination::Packet& packet) {
   if (left_ || displaced_ || packet.from() == self_.name) return;
-  remind_of_its_status(packet.from(), packet.birth());
+  report_status_to_member(packet.from(), packet.birth());
   if (is_unknown(packet)) request_introduction(now, address, packet.from());
 }
 
-// A router that was cut off while the others were started again knows them from their packets, and none of
-// them knows it: its state was spread before their start. Whoever is answered has to be known.
+// A router that was cut off while the others restarted learns of them from their packets, but they lack its
+// state, which was disseminated before they started. A member must therefore know every sender that it
+// answers.
 void Swim::request_introduction(Micros now, const std::string& address, const std::string& name) {
   ++counters_.unknown_senders;
   if (!peers_.contains(name) && peers_.size() >= settings_.most_peers) return;
@@ -407,14 +413,14 @@
     coordination::Packet request = packet(it->first);
     request.mutable_sync()->set_answer(true);
     request.mutable_sync()->set_introduce(true);
-    // Without updates: those that are spread a few times only are not to be spent on it.
+    // Without piggybacked updates, so as not to use up their bounded transmissions.
     transmit(pending.address, request);
     ++it;
   }
 }
 
-// Where one member does not know this one, others may not either: all are told, some times, as packets are
-// lost.
+// If one member lacks this one's state, others may lack it too, so it is sent to all of them, several times
+// because packets may be lost.
 void Swim::answer_introduction_request(Micros now, const std::string& address, const std::string& name) {
   ++counters_.introductions;
   send_own_state(address, name);
@@ -447,7 +453,7 @@
   if (update.name() == self_.name) return apply_to_self(now, update);
   const auto it = peers_.find(update.name());
   if (it == peers_.end()) {
-    // A member that was never known here need not be declared dead.
+    // There is no need to record the departure or death of a member that was never in the table.
     if (!is_living(update.standing())) return;
     if (peers_.size() >= settings_.most_peers) {
       ++counters_.too_many;
@@ -459,7 +465,7 @@
   confirm_suspicion(it->second, update);
 }
 
-// A further member that reports the same suspicion shortens it.
+// Shortens a suspicion when a further member reports it.
 void Swim::confirm_suspicion(const Peer& peer, const coordination::MemberState& update) {
   const auto it = suspicions_.find(peer.name);
   const bool same_suspicion = update.standing() == coordination::SUSPECT &&
@@ -490,17 +496,18 @@
   gossip_.add(update);
 }
 
-// What others say of this router.
+// Handles updates about this router that other members have sent.
 void Swim::apply_to_self(Micros now, const coordination::MemberState& update) {
   if (update.birth() > self_.birth) {
-    // A later process of our name. At our own address nobody else can live: it was our own, begun under a
-    // clock that ran ahead. Elsewhere it is a process that began later, and the name is its.
+    // A process with this router's name and a later birth. At this router's own address it can only be an
+    // earlier process of this router, started while the clock ran ahead. At another address it is a process
+    // that started later and takes over the name.
     if (update.at() == self_.at) {
       self_.birth = update.birth() + 1;
       incarnation_ = 1;
       spread_own_state();
     } else if (rival_.birth != update.birth() && is_living(update.standing())) {
-      // It is asked whether it lives: it may be our own last process, at another address.
+      // Pinged first: it may be this router's previous process, which used another address.
       rival_ = {update.birth(), ++last_number_, now + kRivalPeriods * slowed(settings_.period)};
       coordination::Packet ping = packet(self_.name);
       ping.mutable_ping()->set_number(rival_.number);
@@ -529,12 +536,13 @@
 
 void Swim::add_updates(coordination::Packet& packet, const std::string& about) {
   const std::size_t used_bytes = packet.ByteSizeLong() + kPacketOverheadBytes;
-  std::size_t remaining_bytes = settings_.most_bytes - std::min(settings_.most_bytes, used_bytes);
+  std::size_t remaining_bytes =
+      settings_.max_datagram_bytes - std::min(settings_.max_datagram_bytes, used_bytes);
   const auto it = peers_.find(about);
   if (it != peers_.end() && it->second.standing != coordination::ALIVE && !gossip_.contains(about)) {
     append_update(packet, word_of(it->second), remaining_bytes);
   }
-  const int max_transmissions = static_cast<int>(std::ceil(settings_.retransmit * log_of_size()));
+  const int max_transmissions = static_cast<int>(std::ceil(settings_.retransmit_factor * log_of_size()));
   gossip_.append_to(packet, remaining_bytes, max_transmissions, about);
 }
 
@@ -555,7 +563,7 @@
   list.mutable_sync()->set_answer(answer);
   *list.add_words() = word_of(self());
   for (const auto& [other, peer] : peers_) {
-    if (list.ByteSizeLong() + kMaxUpdateBytes > settings_.most_bytes) {
+    if (list.ByteSizeLong() + kMaxUpdateBytes > settings_.max_datagram_bytes) {
       send(address, std::move(list));
       list = packet(name);
       list.mutable_sync();
--- a/src/shared/counter_contributions.cpp
+++ b/src/shared/counter_contributions.cpp
@@ -21,8 +21,9 @@
   return sum;
 }
 
-// Which of two entries of one process counts: a sum before an entry of its own, then the later version. Two
-// different sums of one version may be there where two processes summed up differently.
+// Whether `candidate` replaces `known` as the entry of one process: a sum ranks above the entry of a single
+// process, then the later version wins. Two sums with the same version can differ if two processes merged
+// different entries.
 bool is_newer(const Contribution& candidate, const Contribution& known) {
   const auto rank = [](const Contribution& entry) {
     return std::tuple(entry.is_sum(), entry.version, entry.holds_before, served(entry.counts));
@@ -51,7 +52,8 @@
     own.version = row.version();
     own.counts = counts_of(row.counts());
     for (const coordination::VersionMark& mark : row.folded()) own.holds.insert(mark.birth());
-    // Programs that know no entries name the last processes only: those before the first name are in it.
+    // Older program versions, which do not write entries, list only the most recent processes in `folded`;
+    // all processes before the first one listed are included too.
     if (!row.folded().empty()) own.holds_before = *own.holds.begin();
     return out;
   }
@@ -73,7 +75,7 @@
     if (!is_newer(contribution, it->second)) return false;
     it->second = contribution;
   }
-  drop_held();
+  drop_included();
   return true;
 }
 
@@ -83,14 +85,14 @@
   return changed;
 }
 
-void Contributions::drop_held() {
+void Contributions::drop_included() {
   std::vector<const Contribution*> later_sums;
   for (auto it = by_birth_.end(); it != by_birth_.begin();) {
     --it;
-    const bool is_held = std::any_of(later_sums.begin(), later_sums.end(), [&](const Contribution* sum) {
+    const bool is_included = std::any_of(later_sums.begin(), later_sums.end(), [&](const Contribution* sum) {
       return it->second.is_sum() || sum->holds_process(it->first);
     });
-    if (is_held) {
+    if (is_included) {
       it = by_birth_.erase(it);
     } else if (it->second.is_sum()) {
       later_sums.push_back(&it->second);
@@ -126,7 +128,7 @@
     out.set_klass(key.request_class);
   }
   part.set_holds_before(contribution.holds_before);
-  for (const std::uint64_t birth_held : contribution.holds) part.add_holds(birth_held);
+  for (const std::uint64_t included_birth : contribution.holds) part.add_holds(included_birth);
 }
 
 }  // namespace flintglade::shared
--- a/src/shared/counter_snapshot.cpp
+++ b/src/shared/counter_snapshot.cpp
@@ -8,7 +8,7 @@
 namespace flintglade::shared {
 namespace {
 
-constexpr storage::FileForm kForm{"fgsh", 1, SIZE_MAX, "it is no snapshot of counts"};
+constexpr storage::FileForm kForm{"fgsh", 1, SIZE_MAX, "it is not a counter snapshot"};
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   if (!body.ok()) return body.status();
   coordination::SharedStateUpdate rows;
   if (!rows.ParseFromArray(body->data(), static_cast<int>(body->size()))) {
-    return absl::DataLossError("it cannot be read");
+    return absl::DataLossError("its body is not a valid SharedStateUpdate message");
   }
   return rows;
 }
--- a/src/shared/counter_snapshot.h
+++ b/src/shared/counter_snapshot.h
@@ -1,7 +1,7 @@
-// The file form of the counters' rows, as a process leaves them for the next one.
+// File format in which a process saves the counter rows for the router's next process.
 //
-// storage/checksummed_file.h with the magic "fgsh"; the body is a coordination::SharedStateUpdate with the
-// rows.
+// A checksummed file (storage/checksummed_file.h) with the magic "fgsh"; its body is a
+// coordination::SharedStateUpdate with the rows.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
 namespace flintglade::shared {
 
 std::string encode_counter_snapshot(const coordination::SharedStateUpdate& rows);
-// Not OK: one line that says what is wrong with the bytes.
+// On failure, the status message is one line that describes what is wrong with the bytes.
 absl::StatusOr<coordination::SharedStateUpdate> decode_counter_snapshot(std::string_view bytes);
 
 }  // namespace flintglade::shared
--- a/src/shared/ejection_policy.cpp
+++ b/src/shared/ejection_policy.cpp
@@ -6,8 +6,8 @@
 namespace flintglade::shared {
 namespace {
 
-constexpr std::size_t kFewestReporters = 2;  // also in a fleet that is too small for Settings::min_reporters
-constexpr std::uint32_t kFewestSites = 2;    // where the fleet has several
+constexpr std::size_t kMinReporters = 2;  // even if the fleet is too small for Settings::min_reporters
+constexpr std::uint32_t kMinSites = 2;    // if the fleet has several sites
 
 }  // namespace
 
@@ -47,11 +47,10 @@
 bool EjectionPolicy::is_eligible(Micros now, const ReplicaHealthSummary& summary, const HealthObserver& own,
                                  FleetSize fleet) const {
   const std::size_t others = fleet.routers > 0 ? fleet.routers - 1 : 0;
-  const std::size_t needed =
-      std::max(kFewestReporters, std::min<std::size_t>(settings_.min_reporters, others));
+  const std::size_t needed = std::max(kMinReporters, std::min<std::size_t>(settings_.min_reporters, others));
   if (summary.bad < needed || summary.bad <= summary.good) return false;
-  if (fleet.sites > 1 && summary.sites < kFewestSites) return false;
-  // A replica that has served this router since the newest of those observations is not avoided.
+  if (fleet.sites > 1 && summary.sites < kMinSites) return false;
+  // This router's own, more recent success outweighs the reports.
   const auto served = own.last_served(summary.replica);
   return !served || *served < now - summary.age;
 }
@@ -68,8 +67,9 @@
             [](const ReplicaHealthSummary& a, const ReplicaHealthSummary& b) {
               return a.bad != b.bad ? a.bad > b.bad : a.replica < b.replica;
             });
-  const auto most = static_cast<std::size_t>(settings_.max_ejected_share * static_cast<double>(ready.size()));
-  if (eligible.size() > most) eligible.resize(most);
+  const auto max_ejections =
+      static_cast<std::size_t>(settings_.max_ejected_share * static_cast<double>(ready.size()));
+  if (eligible.size() > max_ejections) eligible.resize(max_ejections);
   std::vector<Ejection> out;
   out.reserve(eligible.size());
   for (const ReplicaHealthSummary& summary : eligible) {
--- a/src/shared/ejection_policy.h
+++ b/src/shared/ejection_policy.h
@@ -1,9 +1,13 @@
-// Which replicas this router avoids because other routers have seen them fail.
+// Decides which replicas this router avoids because other routers report that they fail.
 //
-// No replica is avoided because of one router, or of routers of one site where the fleet has several; never
-// more than a stated share of the ready replicas; never for longer than the observations count; never against
-// what this router has seen itself meanwhile. An avoided replica can still be picked where nothing else is
-// left: the decision module judges.
+// - A replica is not avoided because of a single router's reports, nor, in a fleet with several sites,
+// because
+//   of reports from a single site.
+// - At most Settings::max_ejected_share of the ready replicas are avoided.
+// - An ejection lasts no longer than the observations are valid.
+// - A replica that has served this router since those observations is not avoided.
+//
+// The decision module can still pick an avoided replica if there is no other choice.
 //
 // No I/O; times are of one monotonic clock.
 #pragma once
@@ -21,22 +25,22 @@
 
 namespace flintglade::shared {
 
-// What all routers have said of one replica.
+// The other routers' observations of one replica.
 struct ReplicaHealthSummary {
   core::ReplicaId replica = 0;
-  std::uint32_t bad = 0;    // routers that see it fail
-  std::uint32_t good = 0;   // routers that it serves again
-  std::uint32_t sites = 0;  // of the routers that see it fail
-  Micros age = 0;           // of the newest observation of a failure
+  std::uint32_t bad = 0;    // number of routers that report it as failing
+  std::uint32_t good = 0;   // number of routers that report it as recovered
+  std::uint32_t sites = 0;  // number of sites of the routers that report it as failing
+  Micros age = 0;           // age of the newest observation of a failure
 };
 
-// Summarizes all observations that still count, one vote for each router but this one; of several processes
-// of one router, the last counts.
+// Summarizes all observations that have not expired, with one vote for each router except this one. Of
+// several processes of one router, only the latest counts.
 std::vector<ReplicaHealthSummary> summarize_health(
     Micros now, const Settings& settings,
     const VersionedTable<coordination::HealthObservations>& observations, const std::string& this_router);
 
-// How many routers and sites are alive.
+// Numbers of live routers and of their sites, including this router.
 struct FleetSize {
   std::size_t routers = 0;
   std::size_t sites = 0;
@@ -48,9 +52,9 @@
 
   struct Ejection {
     core::ReplicaId replica = 0;
-    Micros span = 0;  // from now on
+    Micros span = 0;  // duration, starting now
   };
-  // ready: the replicas that this router's own list calls ready.
+  // ready: the replicas that are ready according to this router's endpoint list.
   std::vector<Ejection> ejections(Micros now, const std::vector<ReplicaHealthSummary>& summaries,
                                   const std::set<core::ReplicaId>& ready, const HealthObserver& own,
                                   FleetSize fleet) const;
--- a/src/shared/fleet_clock.cpp
+++ b/src/shared/fleet_clock.cpp
@@ -7,10 +7,11 @@
 namespace {
 
 constexpr std::size_t kMaxClocks = 4096;
-constexpr Micros kClockTtl = 30 * core::kSecond;  // an older Unix time does not count
-// Then any packet counts, however late it seems: the clock has been stepped back.
+constexpr Micros kClockTtl = 30 * core::kSecond;  // a router's Unix time is ignored when it is older
+// A measurement older than this is replaced by any newer packet, however late that seems: the sender's clock
+// may have been stepped back.
 constexpr Micros kMeasurementTtl = 20 * core::kSecond;
-constexpr Micros kMaxDriftDivisor = 20;  // two clocks drift apart by a twentieth at the most
+constexpr Micros kMaxDriftDivisor = 20;  // two clocks drift apart by at most 1/20 of the elapsed time
 
 }  // namespace
 
@@ -25,8 +26,8 @@
 
 void FleetClock::on_unix_time(Micros now, const std::string& router, Micros unix_time) {
   Clock& clock = clocks_[router];
-  const bool first = clock.heard_at < 0;
-  clock.heard_at = now;
+  const bool first = clock.received_at < 0;
+  clock.received_at = now;
   const Micros offset = unix_time - now;
   const Micros age = now - clock.measured_at;
   if (!first && age < kMeasurementTtl && offset < clock.unix_offset - age / kMaxDriftDivisor) return;
@@ -35,7 +36,7 @@
 }
 
 bool FleetClock::is_current(Micros now, const Clock& clock) {
-  return clock.heard_at >= 0 && now - clock.heard_at < kClockTtl;
+  return clock.received_at >= 0 && now - clock.received_at < kClockTtl;
 }
 
 Micros FleetClock::fleet_unix_time(Micros now, Micros own_unix_time) const {
--- a/src/shared/fleet_clock.h
+++ b/src/shared/fleet_clock.h
@@ -1,11 +1,11 @@
-// What packets of other routers show of time: how long a packet was on its way beyond the quickest one, and
-// the Unix time that most routers agree on.
+// Estimates from the timestamps in other routers' packets: how much longer a packet was in transit than the
+// fastest one, and the Unix time of the fleet.
 //
-// A packet shows its sender's Unix time as it was when the packet was sent, so a late packet looks like a
-// clock that is behind. Of each router's packets the one that was on its way for the shortest time counts, as
-// in the clock filter of NTP (RFC 5905, section 10); an older one counts for less, as clocks drift apart.
+// A packet carries its sender's Unix time at sending, so a delayed packet looks like a clock that is behind.
+// Of each router's packets the one with the shortest transit time counts, as in the clock filter of NTP (RFC
+// 5905, section 10). Older measurements lose weight, since clocks drift apart.
 //
-// No I/O; times are microseconds of this router's monotonic clock where not said otherwise.
+// No I/O. Times are microseconds of this router's monotonic clock unless stated otherwise.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +20,23 @@
 
 class FleetClock {
  public:
-  // A packet of this process has come. sent: by its sender's clock. Returns how much longer than the quickest
-  // packet of the same process it was on its way.
+  // Records a packet from the router process `router`, `birth`, sent at `sent` on the sender's clock. Returns
+  // how much longer it was in transit than the fastest packet from the same process.
   Micros on_packet(Micros now, const std::string& router, std::uint64_t birth, Micros sent);
-  // What the clock of that router showed when it sent the packet that has come now.
+  // Records the sender's Unix time from a packet that has just arrived.
   void on_unix_time(Micros now, const std::string& router, Micros unix_time);
-  // The median of the Unix times of this router and of all that were heard lately.
+  // The median of the Unix times of this router and of all others with a recent measurement.
   Micros fleet_unix_time(Micros now, Micros own_unix_time) const;
-  // Other routers whose Unix time is known and not too old.
+  // Number of other routers whose Unix time was received recently enough to count.
   std::size_t known_clocks(Micros now) const;
 
  private:
   struct Clock {
     std::uint64_t birth = 0;
-    Micros min_difference = 0;  // of receiving less sending, each on its own clock
-    Micros heard_at = -1;
-    // Of the packet that counts: their Unix time less our monotonic clock, so that a step of our own Unix
-    // time changes nothing here.
+    Micros min_difference = 0;  // lowest receiving time minus sending time, each on its own router's clock
+    Micros received_at = -1;    // of the last Unix time; -1: none yet
+    // From the packet that counts: the sender's Unix time minus this router's monotonic clock, so that a step
+    // of this router's Unix time does not affect it.
     Micros unix_offset = 0;
     Micros measured_at = 0;
   };
--- a/src/shared/health_observer.h
+++ b/src/shared/health_observer.h
@@ -1,7 +1,7 @@
-// What this router's own attempts show of the health of replicas, as it is told to other routers: attempts in
-// a row that failed, and replicas that serve again.
+// Replica health as observed in this router's own attempts, for reporting to other routers: consecutive
+// failed attempts, and recoveries.
 //
-// No I/O; times are of one monotonic clock. One thread, the core's.
+// No I/O; times are of one monotonic clock. Used on the core's thread only.
 #pragma once
 
 #include <cstdint>
@@ -20,27 +20,27 @@
   explicit HealthObserver(const Settings& settings) : settings_(settings) {}
 
   void on_attempt_ended(Micros now, core::ReplicaId replica, policy::Outcome outcome);
-  // The replica serves.
+  // The replica has sent the first event of a response, so it is serving.
   void on_first_event(Micros now, core::ReplicaId replica);
 
-  // What to tell others: replicas that fail now, and those that have lately begun to serve again. The newest
-  // first.
+  // The observations to report to other routers, newest first: replicas that are failing, and replicas that
+  // have recently recovered.
   std::vector<coordination::ReplicaObservation> observations(Micros now) const;
-  // True once after something to tell has changed.
+  // Whether the observations to report have changed since the last call.
   bool take_changed() { return std::exchange(changed_, false); }
-  // When the replica last served this router. Empty: never.
+  // When the replica last served this router; empty if never.
   std::optional<Micros> last_served(core::ReplicaId replica) const;
 
  private:
   struct Record {
-    std::uint32_t failed_in_row = 0;
-    std::uint32_t served_in_row = 0;
-    Micros at = 0;  // of the last attempt
-    Micros served_at = -1;
+    std::uint32_t consecutive_failures = 0;
+    std::uint32_t consecutive_successes = 0;
+    Micros last_attempt_at = 0;
+    Micros served_at = -1;  // -1: never
     bool was_failing = false;
   };
   Record& record_of(Micros now, core::ReplicaId replica);
-  // Makes room in the table.
+  // Drops expired records, and all records if none has expired.
   void prune(Micros now);
 
   Settings settings_;
--- a/src/shared/quota_allocator.cpp
+++ b/src/shared/quota_allocator.cpp
@@ -6,19 +6,21 @@
 namespace flintglade::shared {
 namespace {
 
-constexpr Micros kDemandTtl = 2 * core::kSecond;  // a holder that is silent for longer wants nothing
+// A holder's demand counts as 0 if it has sent no request for this long.
+constexpr Micros kDemandTtl = 2 * core::kSecond;
 constexpr Micros kHolderTtl = 30 * kDemandTtl;
 constexpr Micros kRepeatDrawAfter = 300 * core::kMilli;
-constexpr Micros kDrawAhead = core::kSecond;  // a draw is for the demand of so long
-constexpr Micros kOutstandingTtl =
-    30 * core::kSecond;  // after its expiry a lease that was not returned counts as spent
-// At each edge of a window no lease is valid for so long: min(kMaxEdge, window / kEdgeDivisor).
+constexpr Micros kDrawAhead = core::kSecond;  // a draw covers the demand of this time span
+// A lease that is not returned within this time after its expiry counts as spent.
+constexpr Micros kOutstandingTtl = 30 * core::kSecond;
+// No lease is valid within min(kMaxEdge, window / kEdgeDivisor) of the start or end of a window.
 constexpr Micros kMaxEdge = 500 * core::kMilli;
 constexpr Micros kEdgeDivisor = 20;
 constexpr std::size_t kMaxHolders = 4096;
 constexpr std::size_t kMaxOutstanding = 65536;
-constexpr Amount kSmallestDraw = 200, kLargestDraw = 20;  // parts of a window's total
-constexpr double kMaxRetryAfter = 86400e6;                // microseconds: a day
+// A draw is between total / kMinDrawDivisor and total / kMaxDrawDivisor of a window's total.
+constexpr Amount kMinDrawDivisor = 200, kMaxDrawDivisor = 20;
+constexpr double kMaxRetryAfter = 86400e6;  // one day, in microseconds
 
 Amount whole_units(double amount) {
   return static_cast<Amount>(std::floor(std::max(0.0, amount) / kUnit)) * kUnit;
@@ -62,27 +64,28 @@
   account.minted_at = std::max(account.minted_at, now);
 }
 
-// Max-min fairness: who wants less than an even part gets it, and the others share what it leaves.
+// Max-min fairness: a holder that demands less than an equal share gets its demand, and the others share the
+// remainder.
 std::optional<double> QuotaAllocator::fair_rate(const Account& account) {
   std::vector<double> demands;
   for (const auto& [router, holder] : account.holders) demands.push_back(holder.demand);
   std::sort(demands.begin(), demands.end());
-  double left = account.budget.allocator_per_s();
+  double remaining_rate = account.budget.allocator_per_s();
   for (std::size_t i = 0; i < demands.size(); ++i) {
-    const double even_part = left / static_cast<double>(demands.size() - i);
-    if (demands[i] < even_part) {
-      left -= demands[i];
+    const double equal_share = remaining_rate / static_cast<double>(demands.size() - i);
+    if (demands[i] < equal_share) {
+      remaining_rate -= demands[i];
       continue;
     }
-    if (even_part < 0) return std::nullopt;  // rounding, where all of the budget is reserved
-    return even_part;
+    if (equal_share < 0) return std::nullopt;  // rounding error, if the whole budget is reserved
+    return equal_share;
   }
   return std::nullopt;
 }
 
-void QuotaAllocator::forget_silent_holders(Micros now, Account& account, const std::string& but_not) {
+void QuotaAllocator::forget_silent_holders(Micros now, Account& account, const std::string& except_router) {
   std::erase_if(account.holders, [&](const auto& entry) {
-    return entry.first != but_not && now - entry.second.last_seen > kHolderTtl;
+    return entry.first != except_router && now - entry.second.last_seen > kHolderTtl;
   });
   for (auto& [router, holder] : account.holders) {
     if (now - holder.last_seen > kDemandTtl) holder.demand = 0;
@@ -105,7 +108,7 @@
     ++counters_.repeated;
     return holder.last_answer;
   }
-  // Of a process that is over: its answer is of no use to anybody.
+  // From a process that a later one has replaced: no one would use the lease.
   if (known && birth < holder.birth) return std::nullopt;
   if (!known || holder.birth != birth) holder = {};
   forget_silent_holders(now, *account, router);
@@ -125,10 +128,11 @@
   if (account.budget.is_stock()) {
     valid = now < account.window_begins ? 0 : std::min(valid, account.window_ends - now);
   }
-  double most = std::min(static_cast<double>(request.want()), account.pool);
+  double max_amount = std::min(static_cast<double>(request.want()), account.pool);
   const std::optional<double> fair = account.budget.is_stock() ? std::nullopt : fair_rate(account);
-  // The credit counts only while more is wanted than there is, but is saved up all the time: else each such
-  // moment would begin with nothing. It reaches as far as a lease's duration.
+  // The credit limits leases only while demand exceeds the rate, but it accumulates all the time: otherwise
+  // every such phase would start without credit. It is capped at what the rate yields within a lease's
+  // duration.
   const double rate = fair ? std::min(holder.demand, *fair) : holder.demand;
   const double max_credit =
       std::max<double>(kUnit, rate * static_cast<double>(std::max<Micros>(0, valid)) / kMicrosPerSecond);
@@ -136,15 +140,16 @@
   holder.credit = std::min(
       max_credit, holder.credit + rate * static_cast<double>(now - credited_from) / kMicrosPerSecond);
   holder.credit_at = now;
-  // Half of the pool is for those with credit; what is above it would only overflow.
+  // Half of the pool is kept for holders with credit. What exceeds that half is granted without credit, since
+  // it would otherwise overflow and be lost.
   const double overflow = account.pool - static_cast<double>(account.budget.allocator_pool()) / 2;
-  if (fair) most = std::min(most, std::max(holder.credit, overflow));
+  if (fair) max_amount = std::min(max_amount, std::max(holder.credit, overflow));
 
   coordination::QuotaLease lease;
   lease.set_ask(request.number());
   lease.set_budget(request.budget());
   lease.set_bank(fencing_token_);
-  const Amount amount = valid > 0 ? whole_units(most) : 0;
+  const Amount amount = valid > 0 ? whole_units(max_amount) : 0;
   lease.set_amount(amount);
   if (amount == 0) {
     ++counters_.refusals;
@@ -187,7 +192,7 @@
   return true;
 }
 
-// What was handed out of the last window ends with it; what was not is lost.
+// Leases on the previous window end with it; what was not granted from it is lost.
 void QuotaAllocator::open_window(Account& account, std::int64_t window) {
   account.window = window;
   account.pool = 0;
@@ -201,8 +206,8 @@
   for (const auto& [router, holder] : account.holders) demand += holder.demand;
   const auto wanted = static_cast<Amount>(demand * static_cast<double>(kDrawAhead) / kMicrosPerSecond);
   const Amount total = account.budget.allocator_whole();
-  return std::clamp<Amount>(wanted, std::max<Amount>(kUnit, total / kSmallestDraw),
-                            std::max<Amount>(kUnit, total / kLargestDraw));
+  return std::clamp<Amount>(wanted, std::max<Amount>(kUnit, total / kMinDrawDivisor),
+                            std::max<Amount>(kUnit, total / kMaxDrawDivisor));
 }
 
 std::vector<coordination::StockDraw> QuotaAllocator::due_draws(Micros now, Micros unix_time) {
@@ -244,7 +249,8 @@
     for (const coordination::Stock& stock : record.stocks()) {
       if (stock.name() != account.budget.name) continue;
       if (stock.window() > account.window) {
-        // Another router's clock has opened a later window: until ours comes there, nothing is to be had.
+        // Another router, whose clock is ahead, has opened a later window. Nothing can be drawn until this
+        // router's time reaches that window.
         account.pending_draw = 0;
         account.exhausted = true;
       } else if (stock.number() == fencing_token_ && stock.serial() == account.pending_draw &&
--- a/src/shared/quota_holder.cpp
+++ b/src/shared/quota_holder.cpp
@@ -7,15 +7,16 @@
 namespace flintglade::shared {
 namespace {
 
-constexpr double kDemandMemory = 1e6;              // microseconds over which the demand decays
-constexpr Micros kLookAhead = 500 * core::kMilli;  // what is held is to last so long
+constexpr double kDemandDecay = 1e6;               // time constant of the demand's decay, in microseconds
+constexpr Micros kLookAhead = 500 * core::kMilli;  // demand over this time span that leases should cover
 constexpr Micros kResendAfter = 250 * core::kMilli;
-constexpr Micros kGiveUpAfter = 600 * core::kMilli;  // then a peer is asked, and the allocator again after it
-constexpr Micros kIdleAfter = 10 * core::kSecond;    // a team without requests for so long needs nothing held
+// Timeout of a request; the next one goes to a peer, and the one after that to the allocator again.
+constexpr Micros kRequestTimeout = 600 * core::kMilli;
+constexpr Micros kIdleAfter = 10 * core::kSecond;  // then no more leases are requested for the team
 constexpr Micros kMinRequestInterval = 50 * core::kMilli;
 constexpr Micros kMaxRequestInterval = 2 * core::kSecond;
 constexpr Micros kDefaultRetryAfter = 250 * core::kMilli;
-constexpr std::size_t kMaxRemembered = 64;  // numbers of requests that were given up, or answered
+constexpr std::size_t kMaxRemembered = 64;  // abandoned requests, and answered ones, by number
 constexpr std::size_t kMaxReturns = 1024;
 
 void remember(std::deque<std::uint64_t>& numbers, std::uint64_t number) {
@@ -27,10 +28,12 @@
   return std::find(numbers.begin(), numbers.end(), number) != numbers.end();
 }
 
-// Whatever the sender says: no more than the whole budget, and no negative amounts or times.
+// Bounds what a faulty sender can cause: no lease exceeds the whole budget, and no amount or time is
+// negative.
 bool is_plausible(const coordination::QuotaLease& lease, const Budget& budget) {
-  const Amount most = budget.is_stock() ? budget.whole : budget.burst;
-  return lease.amount() >= 0 && lease.amount() <= most && lease.valid_us() >= 0 && lease.again_us() >= 0;
+  const Amount max_amount = budget.is_stock() ? budget.whole : budget.burst;
+  return lease.amount() >= 0 && lease.amount() <= max_amount && lease.valid_us() >= 0 &&
+         lease.again_us() >= 0;
 }
 
 }  // namespace
@@ -73,8 +76,8 @@
   message.set_unspent(lease.amount);
 }
 
-// The reserved bucket begins empty: a router that is started again and again gets no more of it than one that
-// runs on.
+// The reserved bucket starts empty, so that a router that restarts repeatedly gets no more from it than one
+// that keeps running.
 void QuotaHolder::expire_and_refill(Micros now, Account& account) {
   while (account.lease_count > 0 && (account.leases[0].expires <= now || account.leases[0].amount <= 0)) {
     account.expired += account.leases[0].amount;
@@ -89,11 +92,11 @@
 }
 
 double QuotaHolder::demand(Micros now, const Account& account) {
-  return account.demand * std::exp(-static_cast<double>(now - account.demand_at) / kDemandMemory);
+  return account.demand * std::exp(-static_cast<double>(now - account.demand_at) / kDemandDecay);
 }
 
 void QuotaHolder::note_demand(Micros now, Account& account, Amount amount) {
-  account.demand = demand(now, account) + static_cast<double>(amount) * kMicrosPerSecond / kDemandMemory;
+  account.demand = demand(now, account) + static_cast<double>(amount) * kMicrosPerSecond / kDemandDecay;
   account.demand_at = now;
   account.last_spent = now;
 }
@@ -128,17 +131,17 @@
   return decision;
 }
 
-// The reserved bucket first: it refills all the time, and what it can't hold is lost to everybody.
+// Charges the reserved bucket first: it refills continuously, and what overflows is lost to all routers.
 void QuotaHolder::charge(Account& account, Amount cost) {
   account.spent += cost;
   const Amount from_reserved = std::min(cost, static_cast<Amount>(account.reserved));
   account.reserved -= static_cast<double>(from_reserved);
-  Amount left = cost - from_reserved;
-  while (left > 0 && account.lease_count > 0) {
+  Amount remaining = cost - from_reserved;
+  while (remaining > 0 && account.lease_count > 0) {
     Lease& lease = account.leases[0];
-    const Amount from_lease = std::min(left, lease.amount);
+    const Amount from_lease = std::min(remaining, lease.amount);
     lease.amount -= from_lease;
-    left -= from_lease;
+    remaining -= from_lease;
     if (lease.amount == 0) drop_first_lease(account);
   }
 }
@@ -154,8 +157,8 @@
 }
 
 std::optional<QuotaHolder::LeaseRequest> QuotaHolder::due_request(Micros now, Account& account) {
-  if (account.pending != 0 && now - account.first_sent >= kGiveUpAfter) {
-    remember(account.given_up, account.pending);
+  if (account.pending != 0 && now - account.first_sent >= kRequestTimeout) {
+    remember(account.abandoned, account.pending);
     account.pending = 0;
     account.to_peer = !account.to_peer;
   }
@@ -192,9 +195,9 @@
   const Micros valid = std::min<Micros>(message.valid_us(), account.budget.lease_duration()) * 9 / 10;
   const Lease lease{message.amount(), account.first_sent + valid, message.bank(), message.serial()};
   if (account.pending == 0 || message.ask() != account.pending) {
-    const auto late = std::find(account.given_up.begin(), account.given_up.end(), message.ask());
-    if (late == account.given_up.end()) return;  // not requested, or taken already
-    account.given_up.erase(late);
+    const auto late = std::find(account.abandoned.begin(), account.abandoned.end(), message.ask());
+    if (late == account.abandoned.end()) return;  // never requested, or a duplicate
+    account.abandoned.erase(late);
     return return_lease(account.budget, lease);
   }
   account.pending = 0;
@@ -215,7 +218,7 @@
   add_lease(account, lease);
 }
 
-// Half of what is left beyond this router's own need, out of the lease that expires last.
+// Lends half of what this router holds beyond its own need, from the lease that expires last.
 std::optional<coordination::QuotaLease> QuotaHolder::lend(Micros now,
                                                           const coordination::QuotaRequest& request) {
   if (request.want() <= 0 || request.want() > kMaxAmount) return std::nullopt;
--- a/src/shared/replicated_counter.cpp
+++ b/src/shared/replicated_counter.cpp
@@ -6,14 +6,15 @@
 namespace flintglade::shared {
 namespace {
 
-constexpr std::size_t kMaxEarlier = 16;           // earlier processes of one router that a row has entries of
+constexpr std::size_t kMaxEarlier = 16;           // earlier processes of a router with an entry in its row
 constexpr std::size_t kMaxPartBytes = 24u << 10;  // of all entries of a row
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr std::uint64_t kMaxCount = std::uint64_t{1} << 53;
-constexpr Micros kUnsealed =
-    core::kSecond;  // what a process may have counted and never told, beside its row's age
-constexpr Micros kResealAfter =
-    5 * core::kSecond;  // an unchanged row gets a new version, so that it ages no more
+// Time, beyond the age of its last row, for which a process may have counted requests that are in no version
+// of its row.
+constexpr Micros kUnsealed = core::kSecond;
+// An unchanged row gets a new version at this age, so that its age stays bounded.
+constexpr Micros kResealAfter = 5 * core::kSecond;
 
 bool same_counts(const coordination::RequestCounts& a, const coordination::RequestCounts& b) {
   return a.served() == b.served() && a.refused() == b.refused() && a.failed() == b.failed() &&
@@ -52,7 +53,8 @@
   return true;
 }
 
-// `counts` is the total and `folded` what it holds, for older programs; `parts` has the entries.
+// `parts` has the entries. For older program versions, which do not read those, `counts` has the total and
+// `folded` the earlier processes that it includes.
 coordination::CounterRow ReplicatedCounter::make_row() {
   coordination::CounterRow row;
   row.set_name(self_.router);
@@ -63,11 +65,11 @@
   Counts sum = own_;
   add(sum, earlier_.total());
   const std::size_t max_counts = settings_.max_counts_per_row;
-  // Beyond the bound all others count as one.
-  coordination::RequestCounts rest;
+  // Teams and classes beyond the bound are added up in one count.
+  coordination::RequestCounts others;
   for (const auto& [key, count] : sum) {
     if (static_cast<std::size_t>(row.counts_size()) + 1 >= max_counts) {
-      add(rest, count);
+      add(others, count);
       continue;
     }
     coordination::RequestCounts& out = *row.add_counts();
@@ -75,7 +77,7 @@
     out.set_team(key.team);
     out.set_klass(key.request_class);
   }
-  if (sum.size() >= max_counts) *row.add_counts() = rest;
+  if (sum.size() >= max_counts) *row.add_counts() = others;
   if (earlier_.by_birth().empty()) return row;
   std::size_t entries = own_.size();
   for (const auto& [birth, earlier] : earlier_.by_birth()) {
@@ -89,7 +91,7 @@
   append_part(row, self_.birth, {row.version(), own_, 0, {}});
   std::size_t part_bytes = 0;
   for (const coordination::ProcessCounts& part : row.parts()) part_bytes += part.ByteSizeLong();
-  // A row that has been one sum stays one: readers prefer sums, whatever their version.
+  // A row that has once been a sum stays a sum: readers prefer sums over entries, whatever their version.
   sums_only_ = sums_only_ || part_bytes > kMaxPartBytes || entries > max_counts;
   if (sums_only_) row.clear_parts();
   return row;
@@ -130,7 +132,8 @@
 }
 
 bool ReplicatedCounter::is_superseded(const coordination::CounterRow& row) const {
-  // An older program goes by its marks, and still takes up what is beyond them.
+  // A row without entries comes from an older program version: what it includes is given by its marks, and it
+  // can still fold versions later than those.
   bool is_marked = false;
   bool is_beyond_mark = false;
   for (auto it = table_.rows().upper_bound({row.name(), row.birth()});
@@ -148,20 +151,21 @@
 
 absl::Status ReplicatedCounter::merge(Micros now, coordination::CounterRow row, Micros extra_delay,
                                       int transmissions) {
-  if (!is_plausible(row)) return absl::InvalidArgumentError("numbers that cannot be");
+  if (!is_plausible(row)) return absl::InvalidArgumentError("implausible names, numbers or sizes");
   const ProcessId process{row.name(), row.birth()};
   if (process == self_) {
     if (row.version() <= table_.version(self_)) return absl::OkStatus();
-    return absl::InvalidArgumentError("a row of ours that we have not written");
+    return absl::InvalidArgumentError("claims to be this process's own row, in a version it has not written");
   }
   const bool of_this_router = process.router == self_.router;
-  if (of_this_router && process.birth > self_.birth) return absl::OkStatus();  // this is the earlier one
+  if (of_this_router && process.birth > self_.birth)
+    return absl::OkStatus();  // this process is the earlier one
   if (of_this_router) {
-    // Of an earlier process: it is over, since its address was free.
+    // From an earlier process, which has ended: this one could bind its address.
     fold_into_own(row);
     return absl::OkStatus();
   }
-  if (is_superseded(row)) return absl::OkStatus();  // it is not to come back
+  if (is_superseded(row)) return absl::OkStatus();  // a dropped row must not be added again
   const coordination::CounterRow copy = row;
   if (table_.merge(now, std::move(row), extra_delay, transmissions)) drop_superseded_rows(now, copy);
   return absl::OkStatus();
@@ -213,11 +217,12 @@
       const Micros unknown = row_age + settings_.max_delay + kUnsealed;
       const auto max_unknown = static_cast<std::uint64_t>(settings_.max_requests_per_s *
                                                           static_cast<double>(unknown) / kMicrosPerSecond);
-      // A sum holds some version of this process. Which part of this one is in it is not known.
-      const bool is_held = !of_router.by_birth().contains(row.birth());
+      // If this process has no entry left, a sum includes some version of it. How much of this row that
+      // covers is not known, so the upper bound counts all of it.
+      const bool is_in_sum = !of_router.by_birth().contains(row.birth());
       for (const coordination::RequestCounts& count : row.counts()) {
         Total& total = totals[{count.team(), count.klass(), site}];
-        total.max_served += max_unknown + (is_held ? count.served() : 0);
+        total.max_served += max_unknown + (is_in_sum ? count.served() : 0);
         total.oldest = std::max(total.oldest, row_age);
       }
     }
--- a/src/shared/replicated_counter.h
+++ b/src/shared/replicated_counter.h
@@ -1,14 +1,15 @@
 // Request counts of the whole fleet: a row for each process of each router, merged by version (a grow-only
 // counter; Shapiro and others, "Conflict-free Replicated Data Types", 2011).
 //
-// A router that starts anew takes the counts of its earlier processes into its own row, each by itself
-// (shared/counter_contributions.h); the others drop the rows of those then. So there is a row for each
-// router, not for each start. Of more than kMaxEarlier earlier processes the first ones are summed up: what
-// comes of those later is not counted.
+// A restarted router folds the counts of its earlier processes into its own row, as separate entries
+// (shared/counter_contributions.h); other routers then drop the rows of the earlier processes. So there is
+// one row for each router rather than for each start. If there are more than kMaxEarlier earlier processes,
+// the first of them are merged into a sum; counts of theirs that arrive later are ignored.
 //
-// A total is what has reached this router, and an upper bound for what can't have reached it yet: each row's
-// owner may have ended max_requests_per_s since it made the row. The bound holds for routers that this one
-// has heard of, and as long as the quickest packet between two routers takes less than max_delay.
+// A total consists of the counts that have reached this router (a lower bound) and an upper bound that adds
+// what may be missing: the writer of each row may have completed max_requests_per_s since it made the row.
+// The upper bound holds for routers that have a row here, as long as the fastest packet between two routers
+// takes less than max_delay.
 //
 // No I/O; times are of one monotonic clock.
 #pragma once
@@ -30,7 +31,7 @@
   std::string team;
   std::string request_class;
   std::string site;
-  auto operator<=>(const TotalKey&) const = default;  // NOLINT(modernize-use-nullptr): as said above
+  auto operator<=>(const TotalKey&) const = default;  // NOLINT(modernize-use-nullptr): as for CountKey
 };
 
 class ReplicatedCounter {
@@ -39,14 +40,15 @@
 
   ReplicatedCounter(const Settings& settings, std::string router, std::uint64_t birth, std::string site);
 
-  // What this process has counted until now. True: there is a new version of its row.
+  // Makes a new version of this process's row from its counts so far, if they have changed or the last
+  // version is old. Returns whether there is a new version.
   bool seal(Micros now, const Counts& counts);
-  // Counts of an earlier process that have come since the last version: a new version with what was counted
-  // by then. True: there is one.
+  // Makes a new version of the row with the last counts, if counts of earlier processes have been folded in
+  // since the last version. Returns whether there is a new version.
   bool seal_folds(Micros now) { return has_unsealed_folds_ && seal(now, own_); }
   bool has_unsealed_folds() const { return has_unsealed_folds_; }
-  // Merges a row of another process, or of an earlier one of this router. Not OK: an implausible row, which
-  // is dropped.
+  // Merges a row of another router's process, or of an earlier process of this router. Returns an error for
+  // an implausible row, which is dropped.
   absl::Status merge(Micros now, coordination::CounterRow row, Micros extra_delay, int transmissions);
 
   struct Total {
@@ -58,9 +60,10 @@
 
   // Since the start.
   struct Counters {
-    std::uint64_t folds = 0;        // rows of earlier processes that had something new for our own
-    std::uint64_t superseded = 0;   // rows that were dropped, since a later process's row has them
-    std::uint64_t not_counted = 0;  // rows of earlier processes of which a sum holds some version already
+    std::uint64_t folds = 0;       // rows of earlier processes that changed this router's row
+    std::uint64_t superseded = 0;  // rows dropped because a later process's row includes them
+    std::uint64_t not_counted =
+        0;  // rows of earlier processes ignored because a sum includes an older version
   };
   const Counters& counters() const { return counters_; }
 
@@ -69,13 +72,13 @@
 
  private:
   bool is_plausible(const coordination::CounterRow& row) const;
-  // What the rows of this router say that began after `birth`.
+  // The merged entries from the rows of the router's processes with a birth later than `after_birth`.
   Contributions contributions(const std::string& router, std::uint64_t after_birth) const;
-  // Whether rows of later processes of that router have all that this row says.
+  // Whether rows of later processes of the same router already include this row.
   bool is_superseded(const coordination::CounterRow& row) const;
   void fold_into_own(const coordination::CounterRow& row);
   coordination::CounterRow make_row();
-  // The processes that this row says to be over, and their rows.
+  // Marks the processes that this row folds as ended, and drops the rows that it supersedes.
   void drop_superseded_rows(Micros now, const coordination::CounterRow& row);
   Micros age(Micros now, const ProcessId& process, Micros sealed) const;
 
@@ -84,11 +87,11 @@
   std::string site_;
   VersionedTable<coordination::CounterRow> table_;
   Contributions earlier_;              // of this router's earlier processes
-  std::map<ProcessId, Micros> ended_;  // rows of processes that are surely over, since when
+  std::map<ProcessId, Micros> ended_;  // processes known to have ended, and since when
   Counts own_;
-  bool is_sealed_ = false;  // there is a version
+  bool is_sealed_ = false;  // this process's row has a version
   bool has_unsealed_folds_ = false;
-  bool sums_only_ = false;  // the entries have become too large for a row, which is one sum from then on
+  bool sums_only_ = false;  // the entries became too large for a row; from then on the row is a single sum
   Counters counters_;
 };
 
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -12,22 +12,22 @@
 namespace {
 
 constexpr Micros kAllocatorPeriod = 100 * core::kMilli;
-constexpr std::size_t kMinClocks = 2;  // of other routers, before a window of a stock is opened
+constexpr std::size_t kMinClocks = 2;  // clocks of other routers needed to open a stock's window
 constexpr Micros kSummaryPeriod = 250 * core::kMilli;
-constexpr Micros kMaxAge =
-    3600 * core::kSecond;  // of an observation; and of restored rows, whose age nobody knows
+// Of an observation. Also added to the age of restored rows, since the time since they were saved is unknown.
+constexpr Micros kMaxAge = 3600 * core::kSecond;
 constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 53;
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr int kDigestMarks = 40;
-constexpr int kMaxDigestMarks =
-    2 * kDigestMarks;                            // in a digest that is answered: rows may have come meanwhile
-constexpr std::size_t kMaxAnswerPackets = 8;     // of rows, in answer to one digest
+// Marks read from a digest, and sent in the answer to one: rows may have been added in the meantime.
+constexpr int kMaxDigestMarks = 2 * kDigestMarks;
+constexpr std::size_t kMaxAnswerPackets = 8;     // packets of rows in answer to one digest
 constexpr std::size_t kMaxRowBytes = 48u << 10;  // a larger row does not fit a datagram
-constexpr std::size_t kRowOverheadBytes = 16;    // tags and lengths round a row
+constexpr std::size_t kRowOverheadBytes = 16;    // protobuf tags and lengths around a row
 constexpr int kOwnRowTransmissions = 4;
 constexpr int kOwnObservationTransmissions = 5;
 constexpr int kRestoredRowTransmissions = 2;
-constexpr int kObservationTtls = 4;  // rows of observations are dropped after so many
+constexpr int kObservationTtls = 4;  // rows of observations are dropped after this many observation_ttl
 
 using coordination::SharedStateMessage;
 
@@ -93,7 +93,7 @@
     quota_allocator_.take_back(now, self_.router, message);
     return;
   }
-  // To the allocator that handed it out, and to no other: it could be handed out twice.
+  // Returned only to the allocator that granted it: with any other, the amount could be granted twice.
   for (const coordination::Job& job : protocol.lease_table().jobs()) {
     if (job.name() != kQuotaAllocatorLease || job.number() != message.bank() || job.owner().empty()) continue;
     SharedStateMessage out;
@@ -111,8 +111,8 @@
   if (counter_.has_unsealed_folds()) next_fold_seal_ = std::min(next_fold_seal_, now + settings_.gossip);
 }
 
-// Without it they would be in nobody's total until this router counts a request of its own, which may be
-// never.
+// Otherwise the folded counts would be missing from all totals until this router counts a request of its own,
+// which may never happen.
 void SharedState::seal_folds(Micros now) {
   next_fold_seal_ = core::kNever;
   if (!settings_.counts || !counter_.seal_folds(now)) return;
@@ -167,7 +167,7 @@
   ++counters_.received;
   if (notification.sender.empty() || notification.sender.size() > kMaxNameBytes ||
       notification.sender == self_.router || notification.sender_birth == 0) {
-    return reject(protocol, notification.sender_address, "no name");
+    return reject(protocol, notification.sender_address, "sender without a valid name or birth");
   }
   const SharedStateMessage& message = notification.shared_state;
   const Micros extra_delay =
@@ -186,7 +186,7 @@
       return receive_update(now, protocol, message.news(), extra_delay, notification.sender);
     case SharedStateMessage::kDigest:
       return receive_digest(now, protocol, message.digest(), notification.sender);
-    default:  // of a newer version
+    default:  // unknown to this program version
       return;
   }
 }
@@ -195,7 +195,7 @@
                                         std::uint64_t birth, const coordination::QuotaRequest& request) {
   if (request.want() < 0 || request.want() > kMaxAmount || request.demand() < 0 ||
       request.demand() > kMaxAmount) {
-    return reject(protocol, router, "an amount that cannot be");
+    return reject(protocol, router, "lease request with an implausible amount");
   }
   if (!is_allocator(now, protocol)) return ports_.lend(router, request);
   const auto lease = quota_allocator_.allocate(now, router, birth, request);
@@ -205,22 +205,23 @@
 void SharedState::receive_update(Micros now, Protocol& protocol,
                                  const coordination::SharedStateUpdate& update, Micros extra_delay,
                                  const std::string& router) {
-  std::string wrong;
+  std::string reason;
   for (const coordination::CounterRow& row : update.rows()) {
     const absl::Status merged = counter_.merge(now, row, extra_delay, transmissions(protocol));
     if (merged.ok()) continue;
-    wrong = "row of " + row.name().substr(0, kMaxNameBytes) + ": " + std::string(merged.message());
+    reason = "row of " + row.name().substr(0, kMaxNameBytes) + ": " + std::string(merged.message());
   }
   schedule_fold_seal(now);
   bool new_observations = false;
   for (const coordination::HealthObservations& observations : update.seen()) {
     if (!is_plausible(observations)) {
-      wrong = "words of " + observations.name().substr(0, kMaxNameBytes) + ": numbers that cannot be";
+      reason = "observations of " + observations.name().substr(0, kMaxNameBytes) +
+               ": implausible names, numbers or sizes";
     } else if (receive_observations(now, protocol, observations, extra_delay)) {
       new_observations = true;
     }
   }
-  if (!wrong.empty()) reject(protocol, router, wrong);
+  if (!reason.empty()) reject(protocol, router, reason);
   if (new_observations) next_summaries_ = now;
 }
 
@@ -230,7 +231,7 @@
   if (observations.name() != self_.router) {
     return observations_.merge(now, observations, extra_delay, transmissions(protocol));
   }
-  // Another process uses our name and birth: our next version goes beyond its.
+  // Another process uses this process's name and birth: this one's next version must be higher.
   if (observations.birth() == self_.birth) {
     max_own_version_ = std::max<std::uint64_t>(max_own_version_, observations.version());
   }
@@ -272,7 +273,8 @@
   });
 }
 
-// Whoever has the newer version of a row sends it; newer rows of the other are asked for, once.
+// Sends the rows that are newer here. If the digest's sender has newer rows, requests them with a digest that
+// is not answered by another one.
 void SharedState::receive_digest(Micros now, Protocol& protocol, const coordination::Digest& digest,
                                  const std::string& router) {
   DigestAnswer answer = answer_to(now, digest);
@@ -316,7 +318,7 @@
   send(now, protocol, members[random_() % members.size()]->name, std::move(message));
 }
 
-// Observations first: they are out of date sooner.
+// Observations first, since they expire sooner.
 void SharedState::gossip(Micros now, Protocol& protocol) {
   const auto members = living_members(protocol);
   SharedStateMessage message;
@@ -343,7 +345,7 @@
   for (const membership::Peer* receiver : receivers) send(now, protocol, receiver->name, message);
 }
 
-// Of the rows from where the last digest ended; all rows are gone through in turns.
+// Covers the rows that follow those of the last digest, so that successive digests cycle through all rows.
 void SharedState::send_digest(Micros now, Protocol& protocol) {
   const auto members = living_members(protocol);
   if (members.empty()) return;
@@ -382,7 +384,7 @@
   next_allocator_run_ = quota_allocator_.active() ? now + kAllocatorPeriod : core::kNever;
   quota_allocator_.on_record(protocol.lease_table());
   if (!is_allocator(now, protocol)) return;
-  // With too few clocks to outvote its own, a router whose clock is wrong would open a wrong window.
+  // With too few other clocks to outvote its own, a router whose clock is wrong would open the wrong window.
   const std::size_t others = living_members(protocol).size();
   if (fleet_clock_.known_clocks(now) < std::min(kMinClocks, others)) {
     ++counters_.too_few_clocks;
@@ -425,7 +427,7 @@
   const auto rows = decode_counter_snapshot(bytes);
   if (!rows.ok()) return rows.status();
   for (const coordination::CounterRow& row : rows->rows()) {
-    // An implausible row is left out; the others are good.
+    // An implausible row is skipped; the others are still used.
     counter_.merge(now, row, kMaxAge, kRestoredRowTransmissions).IgnoreError();
   }
   schedule_fold_seal(now);
@@ -460,7 +462,7 @@
   }
   shared.set_rows(counter_.table().rows().size());
   shared.set_rows_dropped(counter_.table().dropped());
-  // The keys are read by operators' scripts and stay as they are.
+  // Operators' scripts read these keys, so they must not change.
   auto& counters = *shared.mutable_counters();
   counters["sent"] = counters_.sent;
   counters["received"] = counters_.received;
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -1,13 +1,13 @@
-// What a router of the fleet does for what all share: it is the quota allocator while it holds that lease,
-// passes requests for quota leases on, and spreads counters and observations of replicas.
+// A router's part in the state shared by the fleet: it acts as the quota allocator while it holds that job's
+// lease, forwards requests for quota leases, and disseminates request counters and replica observations.
 //
-// No I/O. It lives beside the coordination protocol, on its clock and thread; the quota holder and the health
-// observer, which the serving path uses, live on the core's thread and are reached through Ports.
+// No I/O. Extends the coordination protocol and uses its clock and thread. The quota holder and the health
+// observer, which the serving path uses, run on the core's thread and are reached through Ports.
 //
-// Updates spread by gossip, a few transmissions each to a few others, and by anti-entropy: digests with one
-// other router now and then. What a router missed, for a second or for an hour, comes in packets of a bounded
-// size at a bounded pace. Source: Demers and others, "Epidemic Algorithms for Replicated Database
-// Maintenance" (1987).
+// Updates are disseminated by gossip (a bounded number of transmissions, each to a few random members) and by
+// anti-entropy (periodic digests, each to one random member). A router that missed updates, for a second or
+// for an hour, receives them in packets of bounded size at a bounded rate. Source: Demers and others,
+// "Epidemic Algorithms for Replicated Database Maintenance" (1987).
 #pragma once
 
 #include <cstddef>
@@ -33,10 +33,10 @@
  public:
   using Protocol = coordination::CoordinationProtocol;
 
-  // What comes out for the core's thread. Called on the protocol's thread.
+  // Callbacks into the rest of the router, called on the protocol's thread.
   struct Ports {
-    std::function<void(const coordination::QuotaLease&)> on_lease;  // for this router's quota holder
-    // Another router requests a lease of ours.
+    std::function<void(const coordination::QuotaLease&)> on_lease;  // a lease for this router's quota holder
+    // Another router requests a lease from this router's quota holder.
     std::function<void(const std::string& router, const coordination::QuotaRequest&)> lend;
     std::function<void(std::vector<ReplicaHealthSummary>, FleetSize)> on_health_summaries;
     std::function<Micros()> unix_time;
@@ -50,14 +50,15 @@
   void return_lease(Micros now, Protocol& protocol, const coordination::QuotaReturn& message);
   void on_counts(Micros now, const ReplicatedCounter::Counts& counts);
   void on_observations(Micros now, std::vector<coordination::ReplicaObservation> observations);
-  // For status(): the quota holder's figures, and the replicas that this router avoids by gossip now.
+  // Input for status(): the quota holder's figures, and the replicas that this router avoids because of
+  // gossip.
   void on_core_status(coordination::SharedStatus quotas, std::set<core::ReplicaId> avoided) {
     quota_status_ = std::move(quotas);
     avoided_ = std::move(avoided);
   }
 
-  // The counters as they are left for this router's next process, and the other way. Not OK: one line that
-  // says why the bytes can't be used; nothing was taken then.
+  // Saves the counters for this router's next process, and restores them there. On failure, restore() changes
+  // nothing and its status message is one line that describes why the bytes cannot be used.
   std::string snapshot(Micros now) const;
   absl::Status restore(Micros now, std::string_view bytes);
 
@@ -79,7 +80,7 @@
                              const coordination::QuotaRequest& request);
   void receive_update(Micros now, Protocol& protocol, const coordination::SharedStateUpdate& update,
                       Micros extra_delay, const std::string& router);
-  // True: something new was among them.
+  // Returns true if the observations were newer than those in the table.
   bool receive_observations(Micros now, const Protocol& protocol,
                             const coordination::HealthObservations& observations, Micros extra_delay);
   void receive_digest(Micros now, Protocol& protocol, const coordination::Digest& digest,
@@ -95,8 +96,8 @@
                              coordination::SharedStateMessage message);
   void gossip(Micros now, Protocol& protocol);
   void send_digest(Micros now, Protocol& protocol);
-  // What answers a digest: the rows of which it has an older version or none, in packets of a bounded size,
-  // and the versions held here. Both end where the packets are full.
+  // The answer to a digest: the rows that are newer here than in the digest or missing from it, in packets of
+  // bounded size, and a digest of the versions held here. Both stop when the packets are full.
   struct DigestAnswer {
     std::vector<coordination::SharedStateMessage> packets;
     coordination::Digest digest;
@@ -105,12 +106,13 @@
   bool lacks_rows_of(const coordination::Digest& digest) const;
   void publish_health_summaries(Micros now, const Protocol& protocol);
   void run_allocator(Micros now, Protocol& protocol);
-  // A row with what earlier processes of this router have counted is due soon after that has come.
+  // Schedules a new version of this router's row soon after counts of its earlier processes have been folded
+  // in.
   void schedule_fold_seal(Micros now);
   void seal_folds(Micros now);
 
   static std::vector<const membership::Peer*> living_members(const Protocol& protocol);
-  // How often a new row is passed on, by the fleet's size.
+  // Number of transmissions of a new row, by fleet size.
   static int transmissions(const Protocol& protocol);
   bool is_allocator(Micros now, const Protocol& protocol) const {
     return quota_allocator_.active() && protocol.has_valid_lease(now, kQuotaAllocatorLease);
@@ -124,9 +126,9 @@
   QuotaAllocator quota_allocator_;
   ReplicatedCounter counter_;
   ObservationRows observations_;
-  std::uint64_t max_own_version_ = 0;  // of observations that others have spread in our name
+  std::uint64_t max_own_version_ = 0;  // of received observations that carry this process's name and birth
   FleetClock fleet_clock_;
-  std::string next_digest_from_;  // the router up to which digests have gone
+  std::string next_digest_from_;  // name of the router that the next digest starts from
   Micros next_gossip_ = 0;
   Micros next_digest_ = 0;
   Micros next_allocator_run_ = core::kNever;
@@ -138,8 +140,8 @@
   struct Counters {
     std::uint64_t sent = 0, received = 0, bytes_sent = 0, rejected = 0;
     std::uint64_t requests_to_peers = 0, no_allocator = 0, digests = 0;
-    std::uint64_t too_few_clocks = 0;     // rounds of the allocator without a draw for that reason
-    std::uint64_t unknown_receivers = 0;  // messages to routers that are not known, and so were not sent
+    std::uint64_t too_few_clocks = 0;     // runs of the allocator that skipped draws for lack of other clocks
+    std::uint64_t unknown_receivers = 0;  // messages not sent because the receiver is not in the member table
   } counters_;
 };
 
--- a/src/shared/versioned_table.h
+++ b/src/shared/versioned_table.h
@@ -1,5 +1,5 @@
-// A table with one row for each process of each router, written by that process alone and passed on by all:
-// the newest version of each row that has reached this router, with its age.
+// A replicated table with one row for each process of each router. Only that process writes its row; all
+// routers forward it. Holds the newest version of each row that has reached this router, with its age.
 //
 // Rows can be merged in any order and any number of times. No I/O; times are of one monotonic clock.
 #pragma once
@@ -18,27 +18,27 @@
 
 using core::Micros;
 
-// One process of a router: the later of two of one name has the higher birth.
+// One process of a router. Of two processes with the same router name the later one has the higher birth.
 struct ProcessId {
   std::string router;
-  std::uint64_t birth = 0;  // microseconds of Unix time at its start
+  std::uint64_t birth = 0;  // start time, in microseconds of Unix time
   // clang-tidy 14 takes the 0 of the generated comparison for a null pointer.
-  auto operator<=>(const ProcessId&) const = default;  // NOLINT(modernize-use-nullptr): as said above
+  auto operator<=>(const ProcessId&) const = default;  // NOLINT(modernize-use-nullptr): see above
 };
 
-// Entry: a message with name, birth, version and age_us.
+// Entry: a protobuf message with the fields name, birth, version and age_us.
 template <typename Entry>
 class VersionedTable {
  public:
   struct Row {
     Entry entry;
-    Micros sealed = 0;           // when its writer made this version, at the latest
-    int transmissions_left = 0;  // how often it is still to be passed on
+    Micros sealed = 0;           // latest time at which its writer can have made this version
+    int transmissions_left = 0;  // gossip rounds that still have to forward this version
   };
   explicit VersionedTable(std::size_t max_rows) : max_rows_(max_rows) {}
 
-  // extra_delay: how much longer than the quickest packet of that router this one was on its way. False: this
-  // version or a newer one was there, or there is no room.
+  // extra_delay: how much longer the packet was in transit than the fastest packet from its sender. Returns
+  // false if this version or a newer one is already there, or if the table is full.
   bool merge(Micros now, Entry entry, Micros extra_delay, int transmissions) {
     const ProcessId process{entry.name(), entry.birth()};
     const auto it = rows_.find(process);
@@ -51,7 +51,7 @@
     rows_[process] = {std::move(entry), now - age, transmissions};
     return true;
   }
-  // 0: no row of that process.
+  // The version of the process's row; 0 if there is no row.
   std::uint64_t version(const ProcessId& process) const {
     const auto it = rows_.find(process);
     return it == rows_.end() ? 0 : it->second.entry.version();
@@ -59,10 +59,10 @@
   void erase(const ProcessId& process) { rows_.erase(process); }
   const std::map<ProcessId, Row>& rows() const { return rows_; }
   std::map<ProcessId, Row>& rows() { return rows_; }
-  // Rows for which there was no room.
+  // Number of rows dropped because the table was full.
   std::uint64_t dropped() const { return dropped_; }
 
-  // The entry as it is passed on now.
+  // The row's entry with its current age, as it is forwarded.
   static Entry with_age(Micros now, const Row& row) {
     Entry out = row.entry;
     out.set_age_us(now - row.sealed);
