--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -24,58 +24,63 @@
   }
 };
 
-struct Box {
+// A router of the fleet. Its process is running if `protocol` is set.
+struct SimulatedRouter {
   coordination::CoordinationSettings settings;
-  std::unique_ptr<coordination::CoordinationProtocol> agent;
+  std::unique_ptr<coordination::CoordinationProtocol> protocol;
   std::unique_ptr<MemoryDisk> disk;  // of a voter
-  double rate = 1.0;
-  Micros offset = 0, paused_until = 0, down_until = 0, next_effect = 0;
-  std::map<std::string, std::uint64_t> taken;  // the highest number whose effect it took
-  // What it shares.
+  double clock_rate = 1.0;
+  Micros clock_offset = 0, paused_until = 0, down_until = 0, next_effect = 0;
+  std::map<std::string, std::uint64_t>
+      accepted_numbers;  // by job: the highest number whose effect it has accepted
+  // Shared state.
   std::unique_ptr<shared::SharedState> shared_state;
-  std::unique_ptr<shared::QuotaHolder> wallet;
+  std::unique_ptr<shared::QuotaHolder> quota_holder;
   shared::ReplicatedCounter::Counts counts;
-  double weight = 0;    // of all requests
-  bool leaves = false;  // it has been told to, and has not left yet
-  Micros next_ask = 0, next_count = 0, unix_ahead = 0;
-  Micros local(Micros t) const { return offset + static_cast<Micros>(rate * static_cast<double>(t)); }
+  double weight = 0;     // relative share of all requests
+  bool leaving = false;  // has begun to leave and has not left yet
+  Micros next_lease_request = 0, next_count_report = 0, unix_offset = 0;
+  Micros local(Micros t) const {
+    return clock_offset + static_cast<Micros>(clock_rate * static_cast<double>(t));
+  }
 };
 
-struct Flying {
+struct PacketInFlight {
   Micros due;
   std::size_t from, to;
   std::string bytes;
 };
 
-class Play {
+class Simulation {
  public:
-  Play(const World& world, const std::vector<Fault>& faults)
+  Simulation(const World& world, const std::vector<Fault>& faults)
       : world_(world), faults_(faults), random_(world.seed) {
-    if (!world.budgets.empty()) level_ = static_cast<double>(world.budgets[0].burst);
+    if (!world.budgets.empty()) quota_level_ = static_cast<double>(world.budgets[0].burst);
     std::vector<coordination::VoterAddress> voters;
-    for (unsigned i = 0; i < world.voters; ++i) voters.push_back({name(i), i + 1, at(i)});
+    for (unsigned i = 0; i < world.voters; ++i) voters.push_back({name(i), i + 1, address(i)});
     for (unsigned i = 0; i < world.routers; ++i) {
-      Box& b = boxes_.emplace_back();
-      b.settings.membership.fleet = "test";
-      b.settings.membership.seeds = {at(0), at(1)};
-      b.settings.self = {name(i), i % 2 == 0 ? "north" : "south", at(i), 1'000'000 + i};
-      b.settings.voters = voters;
-      b.settings.lease_times = i < world.voters ? world.leaders : world.owners;
-      for (unsigned j = 0; j < world.jobs; ++j) b.settings.jobs.push_back({"job" + std::to_string(j), ""});
-      b.rate = 1.0 + world.drift / 2 * (2.0 * std::uniform_real_distribution<>()(random_) - 1.0);
-      b.offset = std::uniform_int_distribution<Micros>(0, 1000 * core::kSecond)(random_);
-      b.weight = world.skew > 0 ? (i == 0 ? world.skew : 1.0) : 1.0 / (1.0 + i);
-      if (!world.budgets.empty()) b.settings.jobs.push_back({shared::kQuotaAllocatorLease, ""});
+      SimulatedRouter& router = routers_.emplace_back();
+      router.settings.membership.fleet = "test";
+      router.settings.membership.seeds = {address(0), address(1)};
+      router.settings.self = {name(i), i % 2 == 0 ? "north" : "south", address(i), 1'000'000 + i};
+      router.settings.voters = voters;
+      router.settings.lease_times = i < world.voters ? world.leaders : world.owners;
+      for (unsigned j = 0; j < world.jobs; ++j)
+        router.settings.jobs.push_back({"job" + std::to_string(j), ""});
+      router.clock_rate = 1.0 + world.drift / 2 * (2.0 * std::uniform_real_distribution<>()(random_) - 1.0);
+      router.clock_offset = std::uniform_int_distribution<Micros>(0, 1000 * core::kSecond)(random_);
+      router.weight = world.skew > 0 ? (i == 0 ? world.skew : 1.0) : 1.0 / (1.0 + i);
+      if (!world.budgets.empty()) router.settings.jobs.push_back({shared::kQuotaAllocatorLease, ""});
       if (i < world.voters) {
-        b.disk = std::make_unique<MemoryDisk>();
-        std::vector<coordination::Voter> first;
+        router.disk = std::make_unique<MemoryDisk>();
+        std::vector<coordination::Voter> initial_voters;
         for (const auto& v : voters) {
-          coordination::Voter& one = first.emplace_back();
-          one.set_id(v.id);
-          one.set_at(v.address);
+          coordination::Voter& voter = initial_voters.emplace_back();
+          voter.set_id(v.id);
+          voter.set_at(v.address);
         }
-        b.disk->bytes =
-            coordination::encode_raft_log(coordination::RaftNode::initial_state("test", i + 1, first));
+        router.disk->bytes = coordination::encode_raft_log(
+            coordination::RaftNode::initial_state("test", i + 1, initial_voters));
       }
       start(i);
     }
@@ -84,74 +89,76 @@
   Seen run() {
     for (now_ = 0; now_ < world_.ends * core::kMilli && seen_.broken.empty(); now_ += kStep) {
       step();
-      share();
+      step_shared_state();
     }
-    if (!world_.budgets.empty() && seen_.broken.empty()) equal_at_the_end();
+    if (!world_.budgets.empty() && seen_.broken.empty()) check_final_counts();
     if (seen_.broken.empty() && seen_.longest_gap_ms > 8000)
-      seen_.broken = "a job stood without an owner at the end" + state();
+      seen_.broken = "a job had no owner for more than 8 s after the faults" + describe_state();
     return seen_;
   }
 
  private:
-  std::string state() const {
+  std::string describe_state() const {
     std::string out;
-    for (std::size_t i = 0; i < boxes_.size(); ++i) {
-      if (!up(i)) continue;
-      const coordination::Status s = boxes_[i].agent->status(boxes_[i].local(now_));
-      out += "\n" + name(i) + " " + s.role() + " term " + std::to_string(s.term()) + " applied " +
-             std::to_string(s.index()) + " of " + std::to_string(s.last_index()) + " leader " +
-             s.leader_at() + (s.displaced() ? " displaced" : "") + s.why_halted();
-      for (const coordination::Job& j : s.table().jobs())
-        out += " " + j.name() + "=" + std::to_string(j.number()) + ":" + j.owner() + ":" + j.wanted();
-      for (const coordination::HeldLease& h : s.held()) out += " holds " + h.job();
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+      if (!is_running(i)) continue;
+      const coordination::Status status = routers_[i].protocol->status(routers_[i].local(now_));
+      out += "\n" + name(i) + " " + status.role() + " term " + std::to_string(status.term()) + " applied " +
+             std::to_string(status.index()) + " of " + std::to_string(status.last_index()) + " leader " +
+             status.leader_at() + (status.displaced() ? " displaced" : "") + status.why_halted();
+      for (const coordination::Job& job : status.table().jobs())
+        out += " " + job.name() + "=" + std::to_string(job.number()) + ":" + job.owner() + ":" + job.wanted();
+      for (const coordination::HeldLease& lease : status.held()) out += " holds " + lease.job();
     }
     return out;
   }
   static std::string name(std::size_t i) { return "r" + std::to_string(i); }
-  static std::string at(std::size_t i) { return "10.0.0." + std::to_string(i + 1) + ":7000"; }
-  bool up(std::size_t i) const { return boxes_[i].agent != nullptr; }
-  bool awake(std::size_t i) const { return up(i) && now_ >= boxes_[i].paused_until; }
+  static std::string address(std::size_t i) { return "10.0.0." + std::to_string(i + 1) + ":7000"; }
+  bool is_running(std::size_t i) const { return routers_[i].protocol != nullptr; }
+  bool is_awake(std::size_t i) const { return is_running(i) && now_ >= routers_[i].paused_until; }
 
   void start(std::size_t i) {
-    Box& b = boxes_[i];
-    b.settings.self.birth += 1000;
-    b.agent = std::make_unique<coordination::CoordinationProtocol>(b.settings, random_());
+    SimulatedRouter& router = routers_[i];
+    router.settings.self.birth += 1000;
+    router.protocol = std::make_unique<coordination::CoordinationProtocol>(router.settings, random_());
     if (!world_.budgets.empty()) start_sharing(i);
-    if (b.disk) {
-      b.disk->fails = false;
-      absl::StatusOr<coordination::DecodedRaftLog> log = coordination::decode_raft_log(b.disk->bytes);
+    if (router.disk) {
+      router.disk->fails = false;
+      absl::StatusOr<coordination::DecodedRaftLog> log = coordination::decode_raft_log(router.disk->bytes);
       if (!log.ok())
-        return broken("a voter could not read its own file: " + std::string(log.status().message()));
-      b.disk->bytes.resize(b.disk->bytes.size() - log->torn_bytes);
-      const absl::Status started = b.agent->start_voting(std::move(log->state), *b.disk);
-      if (!started.ok()) return broken("a voter could not start: " + std::string(started.message()));
+        return report_violation("a voter could not decode its own Raft log: " +
+                                std::string(log.status().message()));
+      router.disk->bytes.resize(router.disk->bytes.size() - log->torn_bytes);
+      const absl::Status started = router.protocol->start_voting(std::move(log->state), *router.disk);
+      if (!started.ok())
+        return report_violation("a voter could not start: " + std::string(started.message()));
     }
-    b.agent->start(b.local(now_));
-    flush(i);
+    router.protocol->start(router.local(now_));
+    flush_output(i);
   }
 
-  void broken(const std::string& what) {
+  void report_violation(const std::string& what) {
     if (seen_.broken.empty()) seen_.broken = std::to_string(now_ / 1000) + " ms: " + what;
   }
 
   bool passes(std::size_t from, std::size_t to, Micros& delay) {
     delay = 500 + std::uniform_int_distribution<Micros>(0, 2000)(random_);
-    for (const Fault& f : faults_) {
-      const Micros begin = f.at * core::kMilli, end = begin + f.length * core::kMilli;
+    for (const Fault& fault : faults_) {
+      const Micros begin = fault.at * core::kMilli, end = begin + fault.length * core::kMilli;
       if (now_ < begin || now_ >= end || now_ >= world_.faults_until * core::kMilli) continue;
-      const std::size_t who = f.who % world_.routers, whom = f.whom % world_.routers;
-      switch (f.kind) {
+      const std::size_t who = fault.who % world_.routers, whom = fault.whom % world_.routers;
+      switch (fault.kind) {
         case Fault::Kind::cut_off:
           if (from == who || to == who) return false;
           break;
-        case Fault::Kind::cut_from:  // from the voters only
+        case Fault::Kind::cut_from:
           if ((from == who && to < world_.voters) || (to == who && from < world_.voters)) return false;
           break;
         case Fault::Kind::split:
           if ((from <= who) != (to <= who)) return false;
           break;
         case Fault::Kind::one_way:
-          if (from == who && (f.whom % 3 == 0 || to == whom)) return false;
+          if (from == who && (fault.whom % 3 == 0 || to == whom)) return false;
           break;
         case Fault::Kind::lossy:
           if (random_() % 3 == 0) return false;
@@ -159,7 +166,7 @@
         case Fault::Kind::slow:
           delay += std::uniform_int_distribution<Micros>(0, 800 * core::kMilli)(random_);
           break;
-        case Fault::Kind::stuck:  // what it writes leaves the machine only then
+        case Fault::Kind::stuck:  // its packets leave the machine when the fault ends
           if (from == who) delay += end - now_;
           break;
         default:
@@ -169,7 +176,8 @@
     return true;
   }
 
-  // No packet here holds a Status, whose maps protobuf writes in no fixed order: nobody sends a Query.
+  // The trace is deterministic because no packet contains a Status, whose maps protobuf serializes in no
+  // fixed order: the simulation sends no Query.
   void record(std::size_t sender, const membership::Datagram& datagram) {
     ++seen_.datagrams;
     seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
@@ -185,141 +193,149 @@
     seen_.trace.add_integer(notification.number);
   }
 
-  void flush(std::size_t i) {
-    std::vector<coordination::JobNotification> words = boxes_[i].agent->take_notifications();
-    if (Box& b = boxes_[i]; b.shared_state) {
-      for (const coordination::JobNotification& w : words)
-        b.shared_state->receive(b.local(now_), *b.agent, w);
+  void flush_output(std::size_t i) {
+    std::vector<coordination::JobNotification> notifications = routers_[i].protocol->take_notifications();
+    if (SimulatedRouter& router = routers_[i]; router.shared_state) {
+      for (const coordination::JobNotification& notification : notifications)
+        router.shared_state->receive(router.local(now_), *router.protocol, notification);
     }
-    for (const coordination::JobNotification& w : words) record(i, w);
-    for (membership::Datagram& d : boxes_[i].agent->take_datagrams()) {
-      record(i, d);
-      for (std::size_t to = 0; to < boxes_.size(); ++to) {
-        if (at(to) != d.to) continue;
+    for (const coordination::JobNotification& notification : notifications) record(i, notification);
+    for (membership::Datagram& datagram : routers_[i].protocol->take_datagrams()) {
+      record(i, datagram);
+      for (std::size_t to = 0; to < routers_.size(); ++to) {
+        if (address(to) != datagram.to) continue;
         Micros delay = 0;
         if (!passes(i, to, delay)) continue;
-        flying_.push_back({now_ + delay, i, to, d.bytes});
-        if (random_() % 50 == 0) flying_.push_back({now_ + 3 * delay, i, to, d.bytes});  // twice
+        in_flight_.push_back({now_ + delay, i, to, datagram.bytes});
+        if (random_() % 50 == 0)
+          in_flight_.push_back({now_ + 3 * delay, i, to, datagram.bytes});  // duplicated
       }
     }
-    for (const coordination::JobNotification& w : words) {
-      if (w.kind != coordination::JobNotification::Kind::effect) continue;
+    for (const coordination::JobNotification& notification : notifications) {
+      if (notification.kind != coordination::JobNotification::Kind::effect) continue;
       ++seen_.effects;
-      std::uint64_t& highest = boxes_[i].taken[w.job];
-      if (w.number < highest)
-        broken(name(i) + " took number " + std::to_string(w.number) + " of " + w.job + " after " +
-               std::to_string(highest));
-      highest = std::max(highest, w.number);
+      std::uint64_t& highest = routers_[i].accepted_numbers[notification.job];
+      if (notification.number < highest)
+        report_violation(name(i) + " accepted number " + std::to_string(notification.number) + " of " +
+                         notification.job + " after " + std::to_string(highest));
+      highest = std::max(highest, notification.number);
     }
-    for (const coordination::Event& e : boxes_[i].agent->take_events()) {
-      seen_.refused += e.name == "stale_fencing_token";
-      if (e.name != "lease_granted") continue;
-      // Each voter applies each grant once in its life; a number never goes to two owners.
-      const std::string owner = e.fields[0].second + " " + e.fields[2].second;
-      const auto [it, fresh] = granted_.emplace(e.fields[1].second, owner);
+    for (const coordination::Event& event : routers_[i].protocol->take_events()) {
+      seen_.refused += event.name == "stale_fencing_token";
+      if (event.name != "lease_granted") continue;
+      // Each process of a voter applies each grant once, and no number is granted to two owners.
+      const std::string owner = event.fields[0].second + " " + event.fields[2].second;
+      const auto [it, fresh] = granted_.emplace(event.fields[1].second, owner);
       if (!fresh && it->second != owner)
-        broken("number " + e.fields[1].second + " was granted as " + it->second + " and as " + owner);
+        report_violation("number " + event.fields[1].second + " was granted as " + it->second + " and as " +
+                         owner);
       seen_.grants += fresh;
     }
   }
 
   void step() {
-    for (const Fault& f : faults_) {
-      if (f.at * core::kMilli < now_ || f.at * core::kMilli >= now_ + kStep || f.at >= world_.faults_until)
+    for (const Fault& fault : faults_) {
+      if (fault.at * core::kMilli < now_ || fault.at * core::kMilli >= now_ + kStep ||
+          fault.at >= world_.faults_until)
         continue;
-      const std::size_t who = f.who % world_.routers;
+      const std::size_t who = fault.who % world_.routers;
       const Micros until =
-          std::min<Micros>(now_ + f.length * core::kMilli, world_.faults_until * core::kMilli);
-      Box& b = boxes_[who];
-      if (f.kind == Fault::Kind::pause) b.paused_until = std::max(b.paused_until, until);
-      if (f.kind == Fault::Kind::crash && up(who)) {
-        b.shared_state.reset();
-        b.agent.reset();
-        b.down_until = until;
-        b.paused_until = 0;
-        b.taken.clear();  // a process begins with nothing seen
-        if (b.disk && world_.disks_forget) b.disk->bytes.resize(b.disk->bytes.size() * 3 / 4);
+          std::min<Micros>(now_ + fault.length * core::kMilli, world_.faults_until * core::kMilli);
+      SimulatedRouter& router = routers_[who];
+      if (fault.kind == Fault::Kind::pause) router.paused_until = std::max(router.paused_until, until);
+      if (fault.kind == Fault::Kind::crash && is_running(who)) {
+        router.shared_state.reset();
+        router.protocol.reset();
+        router.down_until = until;
+        router.paused_until = 0;
+        router.accepted_numbers.clear();  // a new process has accepted nothing yet
+        if (router.disk && world_.disks_forget) router.disk->bytes.resize(router.disk->bytes.size() * 3 / 4);
       }
-      if (f.kind == Fault::Kind::disk_fails && b.disk) b.disk->fails = true;
-      if (f.kind == Fault::Kind::move && awake(who)) {
-        // An operator at this router's voters: the packet that `fleet move` sends.
-        coordination::Packet p;
-        p.set_fleet("test");
-        p.set_from("operator");
-        p.mutable_request()->set_number(1);
-        p.mutable_request()->mutable_command()->mutable_move()->set_job("job" +
-                                                                        std::to_string(f.whom % world_.jobs));
-        p.mutable_request()->mutable_command()->mutable_move()->set_to(name(f.who % world_.routers));
+      if (fault.kind == Fault::Kind::disk_fails && router.disk) router.disk->fails = true;
+      if (fault.kind == Fault::Kind::move && is_awake(who)) {
+        // The packet that an operator's `fleet move` sends to the voters.
+        coordination::Packet packet;
+        packet.set_fleet("test");
+        packet.set_from("operator");
+        packet.mutable_request()->set_number(1);
+        packet.mutable_request()->mutable_command()->mutable_move()->set_job(
+            "job" + std::to_string(fault.whom % world_.jobs));
+        packet.mutable_request()->mutable_command()->mutable_move()->set_to(name(fault.who % world_.routers));
         for (std::size_t v = 0; v < world_.voters; ++v)
-          flying_.push_back({now_ + core::kMilli, v, v, p.SerializeAsString()});
+          in_flight_.push_back({now_ + core::kMilli, v, v, packet.SerializeAsString()});
       }
     }
-    for (std::size_t i = 0; i < boxes_.size(); ++i) {
-      // A halted voter's process is started again by whoever looks after it.
-      if (up(i) && boxes_[i].agent->raft_node() != nullptr &&
-          boxes_[i].agent->raft_node()->role() == "halted" && now_ >= world_.faults_until * core::kMilli) {
-        boxes_[i].shared_state.reset();
-        boxes_[i].agent.reset();
-        boxes_[i].down_until = now_;
-        boxes_[i].taken.clear();  // a process begins with nothing seen, as after a crash
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+      // After the faults the operator restarts the process of a halted voter.
+      if (is_running(i) && routers_[i].protocol->raft_node() != nullptr &&
+          routers_[i].protocol->raft_node()->role() == "halted" &&
+          now_ >= world_.faults_until * core::kMilli) {
+        routers_[i].shared_state.reset();
+        routers_[i].protocol.reset();
+        routers_[i].down_until = now_;
+        routers_[i].accepted_numbers.clear();  // a new process has accepted nothing yet, as after a crash
       }
-      if (!up(i) && now_ >= boxes_[i].down_until) start(i);
+      if (!is_running(i) && now_ >= routers_[i].down_until) start(i);
     }
     leave();
-    std::vector<Flying> due;
-    for (std::size_t k = 0; k < flying_.size();) {
-      const Flying& f = flying_[k];
-      // What comes while a process is stopped waits in its socket.
-      if (f.due > now_ || (up(f.to) && !awake(f.to))) {
+    std::vector<PacketInFlight> due;
+    for (std::size_t k = 0; k < in_flight_.size();) {
+      const PacketInFlight& packet = in_flight_[k];
+      // Packets for a stopped process wait in its socket.
+      if (packet.due > now_ || (is_running(packet.to) && !is_awake(packet.to))) {
         ++k;
         continue;
       }
-      due.push_back(std::move(flying_[k]));
-      flying_[k] = std::move(flying_.back());
-      flying_.pop_back();
+      due.push_back(std::move(in_flight_[k]));
+      in_flight_[k] = std::move(in_flight_.back());
+      in_flight_.pop_back();
     }
-    std::sort(due.begin(), due.end(), [](const Flying& a, const Flying& b) { return a.due < b.due; });
-    for (const Flying& f : due) {
-      if (!up(f.to)) continue;
-      Box& b = boxes_[f.to];
+    std::sort(due.begin(), due.end(), [](const PacketInFlight& first, const PacketInFlight& second) {
+      return first.due < second.due;
+    });
+    for (const PacketInFlight& packet : due) {
+      if (!is_running(packet.to)) continue;
+      SimulatedRouter& router = routers_[packet.to];
       if (!world_.fenced) {
-        // Planted: a receiver without a fence, told apart by its own count of what it took.
-        coordination::Packet p;
-        if (p.ParseFromString(f.bytes) && p.has_effect()) {
-          std::uint64_t& highest = b.taken[p.effect().job()];
-          if (p.effect().number() < highest) broken("without a fence, an older number was taken");
-          highest = std::max(highest, p.effect().number());
+        // Planted bug: a receiver without fencing. The check uses the numbers it has accepted.
+        coordination::Packet received;
+        if (received.ParseFromString(packet.bytes) && received.has_effect()) {
+          std::uint64_t& highest = router.accepted_numbers[received.effect().job()];
+          if (received.effect().number() < highest)
+            report_violation("a receiver without fencing accepted a lower fencing token than before");
+          highest = std::max(highest, received.effect().number());
         }
       }
-      b.agent->receive(b.local(now_), at(f.from), f.bytes);
-      flush(f.to);
+      router.protocol->receive(router.local(now_), address(packet.from), packet.bytes);
+      flush_output(packet.to);
     }
-    for (std::size_t i = 0; i < boxes_.size(); ++i) {
-      if (!awake(i)) continue;
-      Box& b = boxes_[i];
-      if (b.local(now_) >= b.agent->next_timer()) b.agent->tick(b.local(now_));
-      if (now_ >= b.next_effect) {
-        b.next_effect = now_ + 100 * core::kMilli;
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+      if (!is_awake(i)) continue;
+      SimulatedRouter& router = routers_[i];
+      if (router.local(now_) >= router.protocol->next_timer()) router.protocol->tick(router.local(now_));
+      if (now_ >= router.next_effect) {
+        router.next_effect = now_ + 100 * core::kMilli;
         for (unsigned j = 0; j < world_.jobs; ++j) {
-          coordination::Effect e;
-          e.set_job("job" + std::to_string(j));
-          b.agent->send_effect(b.local(now_), e, "");
+          coordination::Effect effect;
+          effect.set_job("job" + std::to_string(j));
+          router.protocol->send_effect(router.local(now_), effect, "");
         }
       }
-      flush(i);
+      flush_output(i);
     }
-    // The rule of leases: whoever could act at this moment is the only one.
+    // Mutual exclusion of leases: at most one router may act as the owner of a job at any time.
     for (unsigned j = 0; j < world_.jobs; ++j) {
       const std::string job = "job" + std::to_string(j);
-      std::string who;
-      for (std::size_t i = 0; i < boxes_.size(); ++i) {
-        if (!awake(i) || !boxes_[i].agent->has_valid_lease(boxes_[i].local(now_), job)) continue;
-        if (!who.empty()) broken(job + " is proved at " + who + " and " + name(i));
-        who = name(i);
+      std::string owner;
+      for (std::size_t i = 0; i < routers_.size(); ++i) {
+        if (!is_awake(i) || !routers_[i].protocol->has_valid_lease(routers_[i].local(now_), job)) continue;
+        if (!owner.empty())
+          report_violation("the lease on " + job + " is valid at both " + owner + " and " + name(i));
+        owner = name(i);
       }
-      Micros& since = unowned_[job];
-      if (!who.empty()) since = now_;
-      const double gap = static_cast<double>(now_ - since) / 1000.0;
+      Micros& last_owned = last_owned_[job];
+      if (!owner.empty()) last_owned = now_;
+      const double gap = static_cast<double>(now_ - last_owned) / 1000.0;
       seen_.gap_ms = std::max(seen_.gap_ms, gap);
       if (now_ > world_.faults_until * core::kMilli)
         seen_.longest_gap_ms = std::max(
@@ -329,183 +345,192 @@
 
   void leave() {
     if (world_.leave_at == 0) return;
-    for (const std::size_t i : {std::size_t{0}, boxes_.size() - 1}) {
-      Box& b = boxes_[i];
-      if (!awake(i)) continue;
+    for (const std::size_t i : {std::size_t{0}, routers_.size() - 1}) {
+      SimulatedRouter& router = routers_[i];
+      if (!is_awake(i)) continue;
       if (now_ == world_.leave_at * core::kMilli) {
-        b.agent->leave(b.local(now_));
-        b.leaves = true;
-        flush(i);
+        router.protocol->leave(router.local(now_));
+        router.leaving = true;
+        flush_output(i);
       }
-      if (!b.leaves || !b.agent->has_left(b.local(now_))) continue;
-      b.shared_state.reset();
-      b.agent.reset();
-      b.leaves = false;
-      b.down_until = now_ + core::kSecond;
-      b.taken.clear();
+      if (!router.leaving || !router.protocol->has_left(router.local(now_))) continue;
+      router.shared_state.reset();
+      router.protocol.reset();
+      router.leaving = false;
+      router.down_until = now_ + core::kSecond;
+      router.accepted_numbers.clear();
     }
   }
 
-  // ---- what routers share
+  // ---- shared state
 
-  Micros unix_time(const Box& b) const { return 1'700'000'000 * core::kSecond + now_ + b.unix_ahead; }
+  Micros unix_time(const SimulatedRouter& router) const {
+    return 1'700'000'000 * core::kSecond + now_ + router.unix_offset;
+  }
 
   void start_sharing(std::size_t i) {
-    Box& b = boxes_[i];
-    shared::Settings set;
-    set.budgets = world_.budgets;
-    set.max_requests_per_s = 4 * world_.asked;
+    SimulatedRouter& router = routers_[i];
+    shared::Settings settings;
+    settings.budgets = world_.budgets;
+    settings.max_requests_per_s = 4 * world_.asked;
     shared::SharedState::Ports ports;
-    ports.unix_time = [this, i] { return unix_time(boxes_[i]); };
-    ports.on_lease = [this, i](const coordination::QuotaLease& p) {
-      boxes_[i].wallet->on_lease(boxes_[i].local(now_), p);
+    ports.unix_time = [this, i] { return unix_time(routers_[i]); };
+    ports.on_lease = [this, i](const coordination::QuotaLease& lease) {
+      routers_[i].quota_holder->on_lease(routers_[i].local(now_), lease);
     };
-    ports.lend = [this, i](const std::string& who, const coordination::QuotaRequest& ask) {
-      Box& own = boxes_[i];
-      if (const auto p = own.wallet->lend(own.local(now_), ask))
-        own.shared_state->send_lease(own.local(now_), *own.agent, who, *p);
+    ports.lend = [this, i](const std::string& requester, const coordination::QuotaRequest& request) {
+      SimulatedRouter& own = routers_[i];
+      if (const auto lease = own.quota_holder->lend(own.local(now_), request))
+        own.shared_state->send_lease(own.local(now_), *own.protocol, requester, *lease);
     };
     ports.on_health_summaries = [](const std::vector<shared::ReplicaHealthSummary>&, shared::FleetSize) {};
-    b.shared_state = std::make_unique<shared::SharedState>(set, std::move(ports), b.settings.self, random_());
+    router.shared_state =
+        std::make_unique<shared::SharedState>(settings, std::move(ports), router.settings.self, random_());
     std::vector<shared::Budget> budgets = world_.budgets;
     for (shared::Budget& budget : budgets) {
-      if (world_.aside_again) budget.reserved_share = 0.6;
+      if (world_.over_reserve) budget.reserved_share = 0.6;
     }
-    b.wallet = std::make_unique<shared::QuotaHolder>(budgets, std::vector<std::string>{"q", "s"},
-                                                     b.settings.self.birth, b.local(now_));
-    b.counts.clear();
+    router.quota_holder = std::make_unique<shared::QuotaHolder>(
+        budgets, std::vector<std::string>{"q", "s"}, router.settings.self.birth, router.local(now_));
+    router.counts.clear();
   }
 
-  void share() {
+  void step_shared_state() {
     if (world_.budgets.empty()) return;
     const shared::Budget& quota = world_.budgets[0];
-    // Clocks may mint at a rate that is off by as much as they are.
-    level_ = std::min<double>(static_cast<double>(quota.burst),
-                              level_ + static_cast<double>(quota.per_s) * (1 + world_.drift) * kStep / 1e6);
+    // The allocator may mint faster by as much as its clock drifts.
+    quota_level_ =
+        std::min<double>(static_cast<double>(quota.burst),
+                         quota_level_ + static_cast<double>(quota.per_s) * (1 + world_.drift) * kStep / 1e6);
     double weights = 0;
-    for (const Box& b : boxes_) weights += b.weight;
-    for (std::size_t i = 0; i < boxes_.size(); ++i) {
-      Box& b = boxes_[i];
+    for (const SimulatedRouter& router : routers_) weights += router.weight;
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+      SimulatedRouter& router = routers_[i];
       if (i == 1 && now_ > world_.faults_until * core::kMilli / 2)
-        b.unix_ahead = static_cast<Micros>(world_.unix_step_s * 1e6);
+        router.unix_offset = static_cast<Micros>(world_.unix_step_s * 1e6);
       for (const ClockStep& clock_step : world_.clock_steps) {
         const Micros at = clock_step.at * core::kMilli;
         if (clock_step.who == i && at >= now_ && at < now_ + kStep)
-          b.unix_ahead += static_cast<Micros>(clock_step.seconds * 1e6);
+          router.unix_offset += static_cast<Micros>(clock_step.seconds * 1e6);
       }
-      if (!awake(i)) continue;
-      const Micros local = b.local(now_);
+      if (!is_awake(i)) continue;
+      const Micros local = router.local(now_);
       for (std::uint32_t team = 0; team < 2; ++team) {
-        const double mean = world_.asked * b.weight / weights * kStep / 1e6;
-        for (int n = std::poisson_distribution<>(mean)(random_); n > 0; --n) serve(b, team, local);
+        const double mean = world_.asked * router.weight / weights * kStep / 1e6;
+        for (int n = std::poisson_distribution<>(mean)(random_); n > 0; --n) serve(router, team, local);
       }
-      if (now_ >= b.next_ask) {
-        b.next_ask = now_ + 50 * core::kMilli;
-        for (const auto& q : b.wallet->due_requests(local))
-          b.shared_state->request_lease(local, *b.agent, q.request, q.to_peer);
-        for (const coordination::QuotaReturn& r : b.wallet->take_returns())
-          b.shared_state->return_lease(local, *b.agent, r);
+      if (now_ >= router.next_lease_request) {
+        router.next_lease_request = now_ + 50 * core::kMilli;
+        for (const auto& due : router.quota_holder->due_requests(local))
+          router.shared_state->request_lease(local, *router.protocol, due.request, due.to_peer);
+        for (const coordination::QuotaReturn& message : router.quota_holder->take_returns())
+          router.shared_state->return_lease(local, *router.protocol, message);
       }
-      if (now_ >= b.next_count) {
-        b.next_count = now_ + core::kSecond;
-        b.shared_state->on_counts(local, b.counts);
-        if (world_.intervals) interval_holds(i);
+      if (now_ >= router.next_count_report) {
+        router.next_count_report = now_ + core::kSecond;
+        router.shared_state->on_counts(local, router.counts);
+        if (world_.check_bounds) check_bounds_at(i);
       }
-      if (local >= b.shared_state->next_timer()) b.shared_state->tick(local, *b.agent);
-      flush(i);
+      if (local >= router.shared_state->next_timer()) router.shared_state->tick(local, *router.protocol);
+      flush_output(i);
     }
   }
 
-  void serve(Box& b, std::uint32_t team, Micros local) {
+  void serve(SimulatedRouter& router, std::uint32_t team, Micros local) {
     seen_.wanted += team == 0;
-    coordination::RequestCounts& c = b.counts[{team == 0 ? "q" : "s", "chat"}];
-    if (b.wallet->spend(local, team, 0).verdict != shared::QuotaHolder::Verdict::within) {
-      c.set_refused(c.refused() + 1);
+    coordination::RequestCounts& count = router.counts[{team == 0 ? "q" : "s", "chat"}];
+    if (router.quota_holder->spend(local, team, 0).verdict != shared::QuotaHolder::Verdict::within) {
+      count.set_refused(count.refused() + 1);
       return;
     }
-    c.set_served(c.served() + 1);
-    ++truth_;
+    count.set_served(count.served() + 1);
+    ++true_count_;
     if (team == 0) {
       ++seen_.served;
-      level_ -= shared::kUnit;
-      if (level_ < -1) broken("the quota was overspent by " + std::to_string(-level_));
+      quota_level_ -= shared::kUnit;
+      if (quota_level_ < -1) report_violation("the quota was overspent by " + std::to_string(-quota_level_));
     } else {
-      const std::uint64_t n = ++windows_[unix_time(Box{}) / world_.budgets[1].window];
-      seen_.stock_served = std::max(seen_.stock_served, n);
-      if (static_cast<shared::Amount>(n) * shared::kUnit > world_.budgets[1].whole)
-        broken("a stock of " + std::to_string(world_.budgets[1].whole / shared::kUnit) + " was overspent");
+      const std::uint64_t served = ++stock_served_[unix_time(SimulatedRouter{}) / world_.budgets[1].window];
+      seen_.stock_served = std::max(seen_.stock_served, served);
+      if (static_cast<shared::Amount>(served) * shared::kUnit > world_.budgets[1].whole)
+        report_violation("a stock of " + std::to_string(world_.budgets[1].whole / shared::kUnit) +
+                         " was overspent");
     }
   }
 
-  std::pair<std::uint64_t, std::uint64_t> served_as_seen_by(const Box& b) const {
-    std::uint64_t least = 0, most = 0;
-    for (const auto& [key, total] : b.shared_state->counter().totals(b.local(now_))) {
-      least += total.count.served();
-      most += total.max_served;
+  std::pair<std::uint64_t, std::uint64_t> served_bounds(const SimulatedRouter& router) const {
+    std::uint64_t lower = 0, upper = 0;
+    for (const auto& [key, total] : router.shared_state->counter().totals(router.local(now_))) {
+      lower += total.count.served();
+      upper += total.max_served;
     }
-    return {least, most};
+    return {lower, upper};
   }
 
-  void interval_holds(std::size_t i) {
-    const auto [least, most] = served_as_seen_by(boxes_[i]);
-    std::set<std::string> heard;
-    for (const auto& [process, row] : boxes_[i].shared_state->counter().table().rows())
-      heard.insert(process.router);
-    if (least > truth_ || (heard.size() == boxes_.size() && most < truth_))
-      broken(name(i) + " has counts from " + std::to_string(least) + " to " + std::to_string(most) + " of " +
-             std::to_string(truth_));
+  void check_bounds_at(std::size_t i) {
+    const auto [lower, upper] = served_bounds(routers_[i]);
+    std::set<std::string> known_routers;
+    for (const auto& [process, row] : routers_[i].shared_state->counter().table().rows())
+      known_routers.insert(process.router);
+    if (lower > true_count_ || (known_routers.size() == routers_.size() && upper < true_count_))
+      report_violation(name(i) + " has bounds " + std::to_string(lower) + " and " + std::to_string(upper) +
+                       " for a true count of " + std::to_string(true_count_));
   }
 
-  // After the last fault all have the same counts; what lives that were killed never told is less than what
-  // they can have served between two tellings.
-  void equal_at_the_end() {
-    std::set<std::uint64_t> all;
-    for (std::size_t i = 0; i < boxes_.size(); ++i) {
-      boxes_[i].shared_state->on_counts(boxes_[i].local(now_), boxes_[i].counts);
+  // After the last fault all routers must converge on the same total. It equals the true count unless a
+  // process crashed or halted, and may be lower then, because such a process can have served requests that it
+  // never published.
+  void check_final_counts() {
+    std::set<std::uint64_t> totals;
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+      routers_[i].shared_state->on_counts(routers_[i].local(now_), routers_[i].counts);
     }
     for (const Micros end = now_ + 12 * core::kSecond; now_ < end; now_ += kStep) {
       step();
-      for (std::size_t i = 0; i < boxes_.size(); ++i) {
-        Box& b = boxes_[i];
-        if (b.local(now_) >= b.shared_state->next_timer()) b.shared_state->tick(b.local(now_), *b.agent);
-        flush(i);
+      for (std::size_t i = 0; i < routers_.size(); ++i) {
+        SimulatedRouter& router = routers_[i];
+        if (router.local(now_) >= router.shared_state->next_timer())
+          router.shared_state->tick(router.local(now_), *router.protocol);
+        flush_output(i);
       }
     }
     std::uint64_t crashes = 0;
-    for (const Fault& f : faults_)
-      crashes += f.kind == Fault::Kind::crash || f.kind == Fault::Kind::disk_fails;
+    for (const Fault& fault : faults_)
+      crashes += fault.kind == Fault::Kind::crash || fault.kind == Fault::Kind::disk_fails;
     std::string text;
-    for (const Box& b : boxes_) {
-      all.insert(served_as_seen_by(b).first);
-      text += " " + std::to_string(served_as_seen_by(b).first);
-      const coordination::Status s = [&] {
+    for (const SimulatedRouter& router : routers_) {
+      totals.insert(served_bounds(router).first);
+      text += " " + std::to_string(served_bounds(router).first);
+      const coordination::Status status = [&] {
         coordination::Status out;
-        b.shared_state->status(b.local(now_), *b.agent, out);
+        router.shared_state->status(router.local(now_), *router.protocol, out);
         return out;
       }();
-      seen_.packets += s.shared().counters().at("sent");
-      seen_.bytes += s.shared().counters().at("bytes_sent");
+      seen_.packets += status.shared().counters().at("sent");
+      seen_.bytes += status.shared().counters().at("bytes_sent");
     }
-    if (all.size() != 1 || *all.begin() > truth_ || (crashes == 0 && *all.begin() != truth_))
-      broken("at the end counts are" + text + " of " + std::to_string(truth_));
+    if (totals.size() != 1 || *totals.begin() > true_count_ ||
+        (crashes == 0 && *totals.begin() != true_count_))
+      report_violation("at the end the routers' totals are" + text + " for a true count of " +
+                       std::to_string(true_count_));
   }
 
   World world_;
   std::vector<Fault> faults_;
   std::mt19937_64 random_;
-  std::deque<Box> boxes_;
-  std::vector<Flying> flying_;
-  std::map<std::string, std::string> granted_;
-  std::map<std::string, Micros> unowned_;
+  std::deque<SimulatedRouter> routers_;
+  std::vector<PacketInFlight> in_flight_;
+  std::map<std::string, std::string> granted_;  // by fencing token: job and owner
+  std::map<std::string, Micros> last_owned_;    // by job: last time that it had an owner
   Micros now_ = 0;
-  double level_ = 0;  // of a bucket that all requests of the quota together are held to
-  std::uint64_t truth_ = 0;
-  std::map<std::int64_t, std::uint64_t> windows_;
+  double quota_level_ = 0;  // of a token bucket that checks the whole fleet's requests against the quota
+  std::uint64_t true_count_ = 0;                        // requests served by all routers
+  std::map<std::int64_t, std::uint64_t> stock_served_;  // requests served from the stock, by window
   Seen seen_;
 };
 
 }  // namespace
 
-Seen play(const World& world, const std::vector<Fault>& faults) { return Play(world, faults).run(); }
+Seen play(const World& world, const std::vector<Fault>& faults) { return Simulation(world, faults).run(); }
 
 }  // namespace flintglade::tests
--- a/tests/membership/gossip_buffer_test.cpp
+++ b/tests/membership/gossip_buffer_test.cpp
@@ -8,10 +8,10 @@
 namespace flintglade::membership {
 namespace {
 
-constexpr std::size_t kRoomForAll = 10'000;
+constexpr std::size_t kLargePacketBytes = 10'000;
 constexpr int kMaxTransmissions = 3;
 
-coordination::MemberState update_on(const std::string& name) {
+coordination::MemberState update_about(const std::string& name) {
   coordination::MemberState update;
   update.set_name(name);
   update.set_at("10.0.0.1:1");
@@ -27,36 +27,36 @@
   return names;
 }
 
-TEST(GossipBuffer, SendsTheUpdateThatWasSentLeastFirst) {
+TEST(GossipBuffer, SendsTheLeastTransmittedUpdateFirst) {
   GossipBuffer buffer;
-  buffer.add(update_on("a"));
-  EXPECT_EQ(sent_names(buffer, kRoomForAll), (std::vector<std::string>{"a"}));
-  buffer.add(update_on("b"));
-  EXPECT_EQ(sent_names(buffer, kRoomForAll), (std::vector<std::string>{"b", "a"}));
+  buffer.add(update_about("a"));
+  EXPECT_EQ(sent_names(buffer, kLargePacketBytes), (std::vector<std::string>{"a"}));
+  buffer.add(update_about("b"));
+  EXPECT_EQ(sent_names(buffer, kLargePacketBytes), (std::vector<std::string>{"b", "a"}));
 }
 
-TEST(GossipBuffer, SendsTheUpdateOnTheReceiverBeforeAllOthers) {
+TEST(GossipBuffer, SendsTheUpdateAboutTheGivenMemberBeforeAllOthers) {
   GossipBuffer buffer;
-  for (const char* name : {"a", "b", "c"}) buffer.add(update_on(name));
-  EXPECT_EQ(sent_names(buffer, kRoomForAll, "c"), (std::vector<std::string>{"c", "a", "b"}));
+  for (const char* name : {"a", "b", "c"}) buffer.add(update_about(name));
+  EXPECT_EQ(sent_names(buffer, kLargePacketBytes, "c"), (std::vector<std::string>{"c", "a", "b"}));
 }
 
-TEST(GossipBuffer, StopsAtTheSizeOfTheDatagram) {
+TEST(GossipBuffer, StopsWhenThePacketIsFull) {
   GossipBuffer buffer;
-  for (const char* name : {"a", "b", "c"}) buffer.add(update_on(name));
-  const std::size_t two_updates = 2 * (update_on("a").ByteSizeLong() + 4);
+  for (const char* name : {"a", "b", "c"}) buffer.add(update_about(name));
+  const std::size_t two_updates = 2 * (update_about("a").ByteSizeLong() + 4);
   EXPECT_EQ(sent_names(buffer, two_updates), (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(sent_names(buffer, two_updates).front(), "c");
 }
 
-TEST(GossipBuffer, DropsAnUpdateAfterItsLastTransmissionAndKeepsTheNewestOfAMember) {
+TEST(GossipBuffer, DropsAnUpdateAfterItsLastTransmissionAndKeepsOneUpdatePerMember) {
   GossipBuffer buffer;
-  buffer.add(update_on("a"));
-  for (int i = 0; i < kMaxTransmissions; ++i) EXPECT_EQ(sent_names(buffer, kRoomForAll).size(), 1u);
-  EXPECT_TRUE(sent_names(buffer, kRoomForAll).empty());
-  buffer.add(update_on("a"));
-  buffer.add(update_on("a"));
-  EXPECT_EQ(sent_names(buffer, kRoomForAll).size(), 1u);
+  buffer.add(update_about("a"));
+  for (int i = 0; i < kMaxTransmissions; ++i) EXPECT_EQ(sent_names(buffer, kLargePacketBytes).size(), 1u);
+  EXPECT_TRUE(sent_names(buffer, kLargePacketBytes).empty());
+  buffer.add(update_about("a"));
+  buffer.add(update_about("a"));
+  EXPECT_EQ(sent_names(buffer, kLargePacketBytes).size(), 1u);
 }
 
 }  // namespace
--- a/tests/membership/suspicion_test.cpp
+++ b/tests/membership/suspicion_test.cpp
@@ -7,9 +7,9 @@
 
 constexpr SuspicionBounds kBounds{100.0, 300.0};
 
-TEST(Suspicion, LastsLongestWhereOneMemberReportsIt) { EXPECT_EQ(suspicion_length(kBounds, 1), 300.0); }
+TEST(Suspicion, LastsLongestWithASingleReporter) { EXPECT_EQ(suspicion_length(kBounds, 1), 300.0); }
 
-TEST(Suspicion, ShrinksWithEachFurtherReport) {
+TEST(Suspicion, ShrinksWithEachFurtherReporter) {
   EXPECT_LT(suspicion_length(kBounds, 2), suspicion_length(kBounds, 1));
   EXPECT_LT(suspicion_length(kBounds, 3), suspicion_length(kBounds, 2));
 }
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -1,4 +1,5 @@
-// SWIM membership: what a router believes of what others say, and how one name stays one process.
+// SWIM membership: validation of received updates, and resolution of conflicts between processes that use the
+// same router name.
 #include "membership/swim.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
 
 using core::Micros;
 
-TEST(Swim, AbsurdStatesOfMembersChangeNothing) {
+TEST(Swim, IgnoresInvalidPacketsAndImplausibleUpdates) {
   membership::Settings settings;
   settings.fleet = "f";
   settings.most_peers = 8;
@@ -58,7 +59,7 @@
     });
   EXPECT_EQ(swim.others().size(), 8u);
   EXPECT_EQ(swim.counters().too_many, 12u);
-  // What others claim of this router it denies, by a higher incarnation.
+  // Refutes a false claim about itself with a higher incarnation.
   receive([&](coordination::Packet& packet) {
     add_state(packet, "a", 1000, 3, "10.0.0.1:1");
     packet.mutable_words(0)->set_standing(coordination::DEAD);
@@ -67,14 +68,14 @@
   EXPECT_EQ(swim.counters().refuted, 1u);
 }
 
-// A process that is told of a later one of its own name, which answers or not: whether it is displaced, and
-// its birth after a while.
-std::pair<bool, std::uint64_t> meet_later_process(bool answers) {
+// Notifies a process of a later process with the same name, which answers pings if `later_answers`. Returns
+// whether the earlier process is displaced, and its birth after 20 s.
+std::pair<bool, std::uint64_t> run_name_conflict(bool later_answers) {
   membership::Settings settings;
   settings.fleet = "f";
-  membership::Swim early(settings, {"a", "", "10.0.0.1:1", 1000}, 1);
-  membership::Swim late(settings, {"a", "", "10.0.0.2:1", 2000}, 2);
-  early.start(0);
+  membership::Swim earlier(settings, {"a", "", "10.0.0.1:1", 1000}, 1);
+  membership::Swim later(settings, {"a", "", "10.0.0.2:1", 2000}, 2);
+  earlier.start(0);
   coordination::Packet packet;
   packet.set_fleet("f");
   packet.set_from("b");
@@ -84,31 +85,31 @@
   state->set_at("10.0.0.2:1");
   state->set_birth(2000);
   state->set_incarnation(1);
-  early.receive(1000, "10.0.0.3:1", packet.SerializeAsString());
-  if (answers) {
-    for (const auto& datagram : early.take()) {
-      if (datagram.to == "10.0.0.2:1") late.receive(2000, "10.0.0.1:1", datagram.bytes);
+  earlier.receive(1000, "10.0.0.3:1", packet.SerializeAsString());
+  if (later_answers) {
+    for (const auto& datagram : earlier.take()) {
+      if (datagram.to == "10.0.0.2:1") later.receive(2000, "10.0.0.1:1", datagram.bytes);
     }
-    for (const auto& datagram : late.take()) {
-      if (datagram.to == "10.0.0.1:1") early.receive(3000, "10.0.0.2:1", datagram.bytes);
+    for (const auto& datagram : later.take()) {
+      if (datagram.to == "10.0.0.1:1") earlier.receive(3000, "10.0.0.2:1", datagram.bytes);
     }
   }
-  for (Micros time = 0; time < 20 * core::kSecond; time += 100 * core::kMilli) early.tick(time);
-  return {early.displaced(), early.self().birth};
+  for (Micros time = 0; time < 20 * core::kSecond; time += 100 * core::kMilli) earlier.tick(time);
+  return {earlier.displaced(), earlier.self().birth};
 }
 
-TEST(Swim, AProcessIsDisplacedByALaterOneOfItsName) { EXPECT_TRUE(meet_later_process(true).first); }
+TEST(Swim, AProcessIsDisplacedByALaterOneWithItsName) { EXPECT_TRUE(run_name_conflict(true).first); }
 
-// Such as this router's own last process, under a clock that ran ahead.
-TEST(Swim, AProcessOutbidsALaterOneThatDoesNotAnswer) {
-  EXPECT_EQ(meet_later_process(false), std::pair(false, std::uint64_t{2001}));
+// For example the router's previous process, if the clock ran ahead when that started.
+TEST(Swim, AProcessTakesALaterBirthThanOneThatDoesNotAnswer) {
+  EXPECT_EQ(run_name_conflict(false), std::pair(false, std::uint64_t{2001}));
 }
 
-// A fleet on a network of the test's own, all of whose members know one another, but for the last one: it
-// knows the others, and none of them has it in its table.
-class FleetThatForgotOne {
+// A fleet on a simulated network in which all members know one another, except that the last router is in no
+// other member's table.
+class FleetMissingOneMember {
  public:
-  FleetThatForgotOne(std::size_t size, double loss) : loss_(loss), random_(size) {
+  FleetMissingOneMember(std::size_t size, double loss) : loss_(loss), random_(size) {
     membership::Settings settings;
     settings.fleet = "f";
     for (std::size_t i = 0; i < size; ++i) {
@@ -116,21 +117,22 @@
     }
     for (std::size_t i = 0; i < size; ++i) {
       routers_[i].start(0);
-      tell_of_members(i);
+      send_member_states(i);
     }
-    // What the forgotten one spreads of itself at its start goes to nobody.
-    for (Micros time = 0; time < kForgotten; time += kStep) {
+    // All packets from the missing router are lost while it disseminates its state after its start.
+    for (Micros time = 0; time < kIsolated; time += kStep) {
       for (std::size_t i = 0; i < size; ++i) {
         if (time >= routers_[i].next()) routers_[i].tick(time);
-        deliver(time, i, /*heard=*/i + 1 < size);
+        deliver(time, i, /*connected=*/i + 1 < size);
       }
     }
     for (std::size_t i = 0; i + 1 < size; ++i) EXPECT_FALSE(routers_[i].others().contains(name(size - 1)));
   }
 
-  // How long it takes until all others know it again, from the first packet of it that gets through on.
+  // Time from the first packet of the missing router that is delivered until all others have it in their
+  // tables.
   Micros until_known_by_all() {
-    for (Micros time = kForgotten; time < kForgotten + 60 * core::kSecond; time += kStep) {
+    for (Micros time = kIsolated; time < kIsolated + 60 * core::kSecond; time += kStep) {
       for (std::size_t i = 0; i < routers_.size(); ++i) {
         if (time >= routers_[i].next()) routers_[i].tick(time);
         deliver(time, i, true);
@@ -138,20 +140,21 @@
       const auto knows = [&](const membership::Swim& router) {
         return router.others().contains(name(routers_.size() - 1));
       };
-      if (std::all_of(routers_.begin(), routers_.end() - 1, knows)) return time - first_heard_;
+      if (std::all_of(routers_.begin(), routers_.end() - 1, knows)) return time - first_delivery_;
     }
     return core::kNever;
   }
 
  private:
   static constexpr Micros kStep = 20 * core::kMilli;
-  // Long enough for updates of its start to be spread, and too short for suspicions to end.
-  static constexpr Micros kForgotten = 3 * core::kSecond;
+  // Long enough for the update about the router's start to be disseminated, and too short for suspicions to
+  // expire.
+  static constexpr Micros kIsolated = 3 * core::kSecond;
 
   static std::string name(std::size_t i) { return "r" + std::to_string(i); }
   static std::string address(std::size_t i) { return "10.0.0.1:" + std::to_string(i + 1); }
 
-  void tell_of_members(std::size_t receiver) {
+  void send_member_states(std::size_t receiver) {
     const bool is_last = receiver + 1 == routers_.size();
     for (std::size_t i = 0; i + 1 < routers_.size(); ++i) {
       coordination::Packet packet;
@@ -164,13 +167,13 @@
     }
   }
 
-  void deliver(Micros time, std::size_t sender, bool heard) {
+  void deliver(Micros time, std::size_t sender, bool connected) {
     for (const membership::Datagram& datagram : routers_[sender].take()) {
       const std::size_t to = std::stoul(datagram.to.substr(datagram.to.find(':') + 1)) - 1;
-      // Before that moment only the forgotten one hears of others.
-      const bool passes = heard && std::uniform_real_distribution<>()(random_) >= loss_;
-      if (!passes || (time < kForgotten && to + 1 == routers_.size())) continue;
-      if (sender + 1 == routers_.size() && first_heard_ == 0) first_heard_ = time;
+      // The missing router receives nothing while it is isolated.
+      const bool passes = connected && std::uniform_real_distribution<>()(random_) >= loss_;
+      if (!passes || (time < kIsolated && to + 1 == routers_.size())) continue;
+      if (sender + 1 == routers_.size() && first_delivery_ == 0) first_delivery_ = time;
       routers_[to].receive(time, address(sender), datagram.bytes);
     }
   }
@@ -178,21 +181,21 @@
   double loss_;
   std::mt19937 random_;
   std::deque<membership::Swim> routers_;
-  Micros first_heard_ = 0;
+  Micros first_delivery_ = 0;
 };
 
-// A router that its fleet has forgotten was answered and stayed unknown until it exchanged lists with one
-// member, 15 s on average later. Aim: known by all within three periods of its first packet that gets
-// through, and twice that where one packet in three is lost.
-TEST(Swim, AFleetSoonKnowsARouterThatItHadForgotten) {
+// Guards against members that answer a router missing from their tables but do not add it: it stayed unknown
+// until its next exchange of member lists, 15 s later on average. Limits: three periods after its first
+// delivered packet, and twice that with a loss of one packet in three.
+TEST(Swim, AMissingRouterSoonIsInAllMemberTables) {
   for (const std::size_t size : {7, 50, 300}) {
-    EXPECT_LE(FleetThatForgotOne(size, 0).until_known_by_all(), 3 * core::kSecond) << size;
-    EXPECT_LE(FleetThatForgotOne(size, 1.0 / 3).until_known_by_all(), 6 * core::kSecond) << size;
+    EXPECT_LE(FleetMissingOneMember(size, 0).until_known_by_all(), 3 * core::kSecond) << size;
+    EXPECT_LE(FleetMissingOneMember(size, 1.0 / 3).until_known_by_all(), 6 * core::kSecond) << size;
   }
 }
 
-// Forged names: a request each for some of them, and no more.
-TEST(Swim, AFloodOfUnknownNamesIsAnsweredWithinABound) {
+// Packets with forged names cause a bounded number of introduction requests.
+TEST(Swim, SendsABoundedNumberOfIntroductionRequestsToUnknownNames) {
   constexpr int kPackets = 10'000, kMaxRequests = 64;
   membership::Settings settings;
   settings.fleet = "f";
@@ -212,8 +215,9 @@
   EXPECT_TRUE(swim.others().empty());
 }
 
-// A request to introduce itself makes a member tell all others some times, and not more often than that.
-TEST(Swim, RequestsForIntroductionDoNotMakeAMemberTellAllOverAndOver) {
+// A member that is asked to introduce itself sends its state to all others in a series of four rounds;
+// requests during the series start no further one.
+TEST(Swim, RepeatedIntroductionRequestsStartOneSeriesOfIntroductions) {
   membership::Settings settings;
   settings.fleet = "f";
   membership::Swim swim(settings, {"a", "", "10.0.0.1:1", 1000}, 1);
--- a/tests/shared/health_observer_test.cpp
+++ b/tests/shared/health_observer_test.cpp
@@ -7,7 +7,7 @@
 
 using policy::Outcome;
 
-TEST(HealthObserver, TellsOfTwoFailuresInARowAndOfTheRecovery) {
+TEST(HealthObserver, ReportsTwoConsecutiveFailuresAndTheRecovery) {
   HealthObserver observer{Settings{}};
   observer.on_attempt_ended(0, 1, Outcome::reset);
   EXPECT_TRUE(observer.observations(0).empty());
--- a/tests/shared/quota_allocator_test.cpp
+++ b/tests/shared/quota_allocator_test.cpp
@@ -26,7 +26,7 @@
   return request;
 }
 
-TEST(QuotaAllocator, HandsOutNothingWithoutTheLeaseOnItsJob) {
+TEST(QuotaAllocator, GrantsNothingWithoutTheLeaseOnItsJob) {
   QuotaAllocator allocator({quota()});
   EXPECT_FALSE(allocator.allocate(0, "a", 1, request_of(1, kUnit)).has_value());
   allocator.start(0, 5);
@@ -35,7 +35,7 @@
   EXPECT_FALSE(allocator.allocate(0, "a", 1, request_of(2, kUnit)).has_value());
 }
 
-TEST(QuotaAllocator, BeginsWithAnEmptyPool) {
+TEST(QuotaAllocator, StartsWithAnEmptyPool) {
   QuotaAllocator allocator({quota()});
   allocator.start(0, 5);
   const auto lease = allocator.allocate(0, "a", 1, request_of(1, kUnit));
@@ -55,21 +55,21 @@
   EXPECT_EQ(allocator.counters().leases, 1u);
 }
 
-TEST(QuotaAllocator, HandsOutNoMoreThanItMints) {
+TEST(QuotaAllocator, GrantsNoMoreThanItMints) {
   QuotaAllocator allocator({quota()});
   allocator.start(0, 5);
-  Amount handed_out = 0;
+  Amount granted = 0;
   constexpr int kSeconds = 20;
   for (int i = 1; i <= 10 * kSeconds; ++i) {
     const std::string router = "r" + std::to_string(i % 7);
     const auto lease = allocator.allocate(i * 100 * core::kMilli, router, 1, request_of(i, 50 * kUnit));
     ASSERT_TRUE(lease.has_value());
-    handed_out += lease->amount();
+    granted += lease->amount();
   }
   const Budget budget = quota();
-  EXPECT_LE(static_cast<double>(handed_out),
+  EXPECT_LE(static_cast<double>(granted),
             static_cast<double>(budget.allocator_pool()) + budget.allocator_per_s() * kSeconds);
-  EXPECT_GT(static_cast<double>(handed_out), 0.8 * budget.allocator_per_s() * kSeconds);
+  EXPECT_GT(static_cast<double>(granted), 0.8 * budget.allocator_per_s() * kSeconds);
 }
 
 }  // namespace
--- a/tests/shared/quota_holder_test.cpp
+++ b/tests/shared/quota_holder_test.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::uint32_t kTeamWithoutBudget = 0, kTeam = 1, kUnknownTeam = 9;
 constexpr std::uint64_t kBirth = 1000;
-constexpr Micros kExpires = core::kSecond * 9 / 10;  // of a lease of a second: a tenth shorter
+constexpr Micros kExpires =
+    core::kSecond * 9 / 10;  // of a lease granted for 1 s, which is shortened by a tenth
 
 Budget stock_of_700() {
   Budget stock;
@@ -38,7 +39,7 @@
  protected:
   QuotaHolder holder_{{stock_of_700()}, {"q", "s"}, kBirth, 0};
 
-  // Spends once without success, so that the holder requests a lease. Gives the request's number.
+  // Spends once, which is rejected, so that the holder requests a lease. Returns the request's number.
   std::uint64_t request_lease() {
     EXPECT_EQ(holder_.spend(0, kTeam, 0).verdict, Verdict::rejected);
     const auto requests = holder_.due_requests(0);
@@ -53,15 +54,16 @@
   EXPECT_EQ(holder_.spend(0, kUnknownTeam, 0).verdict, Verdict::unlimited);
 }
 
-TEST_F(QuotaHolderTest, ALeaseThatWasNotRequestedIsNotTaken) {
+TEST_F(QuotaHolderTest, IgnoresALeaseThatWasNotRequested) {
   const std::uint64_t request = request_lease();
   holder_.on_lease(10, lease_of(3 * kUnit, request + 1));
   EXPECT_EQ(holder_.held(10, 0), 0);
 }
 
-TEST_F(QuotaHolderTest, ALeaseIsSpentOnceInItsTimeAndTheRestReturnedOnce) {
+TEST_F(QuotaHolderTest, ALeaseIsSpentOnceBeforeItExpiresAndTheUnspentAmountReturnedOnce) {
   const std::uint64_t request = request_lease();
-  for (int i = 0; i < 3; ++i) holder_.on_lease(10, lease_of(3 * kUnit, request));  // the network repeats it
+  for (int i = 0; i < 3; ++i)
+    holder_.on_lease(10, lease_of(3 * kUnit, request));  // duplicated by the network
   EXPECT_EQ(holder_.held(10, 0), 3 * kUnit);
   EXPECT_EQ(holder_.spend(20, kTeam, 0).verdict, Verdict::within);
   EXPECT_EQ(holder_.held(20, 0), 2 * kUnit);
@@ -99,7 +101,7 @@
   EXPECT_EQ(holder_.held(later, 0), 0);
 }
 
-TEST_F(QuotaHolderTest, ImplausibleRequestsOfPeersGetNothing) {
+TEST_F(QuotaHolderTest, LendsNothingForAnImplausibleRequest) {
   coordination::QuotaRequest request;
   request.set_budget("s");
   request.set_want(INT64_MAX);
--- a/tests/shared/replicated_counter_test.cpp
+++ b/tests/shared/replicated_counter_test.cpp
@@ -44,7 +44,7 @@
   ReplicatedCounter other(Settings{}, "b", 1, "");
   EXPECT_TRUE(other.merge(0, row("a", 3, 4, 100), 0, 0).ok());
   EXPECT_TRUE(other.merge(0, sealed, 0, 0).ok());
-  EXPECT_TRUE(other.merge(0, row("a", 3, 2, 50), 0, 0).ok());  // it does not come back
+  EXPECT_TRUE(other.merge(0, row("a", 3, 2, 50), 0, 0).ok());  // the dropped row is not added again
   EXPECT_EQ(other.table().rows().size(), 1u);
   std::uint64_t sum = 0;
   for (const auto& [key, total] : other.totals(0)) sum += total.count.served();
@@ -63,10 +63,10 @@
   return counter.table().rows().at({"a", birth}).entry;
 }
 
-// Process 1 of router a counts 100 and tells b; process 2 starts cut off and counts 10; process 3 hears of 2
-// first and of 1 later. Process 3 took every process before the first one it had folded for folded too, so
-// the 100 of process 1 were in nobody's total: 10 of 110.
-TEST(ReplicatedCounter, KeepsTheCountsOfAProcessThatTheNextOneNeverHeardOf) {
+// Process 1 of router a counts 100 and its row reaches b; process 2 starts cut off and counts 10; process 3
+// receives the row of 2 first and that of 1 later. Guards against process 3 treating every process before the
+// first one it has folded as folded too: the 100 of process 1 were then missing from all totals.
+TEST(ReplicatedCounter, KeepsTheCountsOfAProcessWhoseRowDidNotReachTheNextOne) {
   ReplicatedCounter first(Settings{}, "a", 1, "");
   ReplicatedCounter second(Settings{}, "a", 2, "");
   ReplicatedCounter third(Settings{}, "a", 3, "");
@@ -82,9 +82,10 @@
   EXPECT_EQ(served(other), 110u);
 }
 
-// Process 2 folds version 1 of its predecessor's row, 100 served; version 2, 180 served, reaches process 3
-// after the row of process 2. Process 3 took process 1 for folded, whatever the version: 100 of 180.
-TEST(ReplicatedCounter, AddsWhatALaterVersionOfAFoldedRowHasNew) {
+// Process 2 folds version 1 of its predecessor's row, with 100 served; version 2, with 180 served, reaches
+// process 3 after the row of process 2. Guards against process 3 treating process 1 as folded regardless of
+// the version, which left its count at 100.
+TEST(ReplicatedCounter, FoldsALaterVersionOfAFoldedRow) {
   ReplicatedCounter first(Settings{}, "a", 1, "");
   ReplicatedCounter second(Settings{}, "a", 2, "");
   ReplicatedCounter third(Settings{}, "a", 3, "");
@@ -97,9 +98,9 @@
   EXPECT_EQ(served(other), 180u);
 }
 
-// Processes 2 and 3 both fold process 1, and 3 has not heard of 2: who holds the rows of both counted process
-// 1 twice, and its lower bound was above the truth.
-TEST(ReplicatedCounter, CountsAProcessOnceThatTwoLaterOnesHaveFolded) {
+// Processes 2 and 3 both fold process 1, and the row of 2 has not reached 3. Guards against a reader with the
+// rows of both counting process 1 twice, which put its lower bound above the true count.
+TEST(ReplicatedCounter, CountsAProcessFoldedByTwoLaterOnesOnce) {
   ReplicatedCounter first(Settings{}, "a", 1, "");
   ReplicatedCounter second(Settings{}, "a", 2, "");
   ReplicatedCounter third(Settings{}, "a", 3, "");
@@ -112,11 +113,11 @@
   EXPECT_EQ(served(other), 111u);
 }
 
-// Histories as the network makes them: processes of one router count one after another, each folds the rows
-// that happen to reach it, two other routers get some of the rows in any order, and rows are passed on by
-// whoever holds them. No reader's lower bound is ever above the truth; once all rows have reached all, each
-// reader has all that was ever sealed.
-TEST(ReplicatedCounter, IsAJoinOverWhateverReachedEachProcess) {
+// Random histories: successive processes of one router count requests, each folds the rows that happen to
+// reach it, two other routers receive some of the rows in any order, and every router forwards rows that it
+// holds. No reader's lower bound may ever exceed the true count. Once all rows have reached all routers, each
+// reader must have the full count.
+TEST(ReplicatedCounter, ConvergesForAnyHistoryOfRowsWithoutOvercounting) {
   constexpr int kHistories = 2000, kSteps = 60;
   for (std::uint32_t seed = 1; seed <= kHistories; ++seed) {
     std::mt19937 random(seed);
@@ -152,7 +153,7 @@
             EXPECT_TRUE(processes.back().merge(0, rows[one_of(rows.size())], 0, 0).ok());
           }
           break;
-        case 3: {  // a reader passes a row on that it holds
+        case 3: {  // a reader forwards a row that it holds
           const auto& held = readers[one_of(2)].table().rows();
           if (!held.empty())
             rows.push_back(std::next(held.begin(), static_cast<int>(one_of(held.size())))->second.entry);
@@ -182,9 +183,9 @@
   }
 }
 
-// What was folded is told without a request of its own: a router that is quiet after its start kept the
-// counts of its earlier processes to itself.
-TEST(ReplicatedCounter, SealsWhatItFoldedWithoutANewCount) {
+// Folded counts are published even if the process counts no request of its own. Guards against a router
+// without traffic after its start never publishing the counts of its earlier processes.
+TEST(ReplicatedCounter, SealsFoldedCountsWithoutANewCount) {
   ReplicatedCounter counter(Settings{}, "a", 5, "");
   counter.seal(0, {{{"t", "c"}, count_of(7)}});
   EXPECT_FALSE(counter.seal_folds(1));
@@ -196,7 +197,8 @@
   EXPECT_FALSE(counter.seal_folds(4));
 }
 
-// More processes than a row has entries for: the first ones are one sum, and nothing is counted twice.
+// With more processes than a row has room for entries, the first ones are merged into a sum; nothing is
+// counted twice.
 TEST(ReplicatedCounter, SumsUpTheFirstOfManyProcesses) {
   constexpr std::uint64_t kProcesses = 60;
   ReplicatedCounter other(Settings{}, "b", 1, "");
@@ -212,11 +214,11 @@
     EXPECT_TRUE(other.merge(0, last_row, 0, 0).ok());
     EXPECT_EQ(served(other), 10 * birth);
   }
-  EXPECT_TRUE(other.merge(0, row("a", 2, 1, 10), 0, 0).ok());  // the sum holds it
+  EXPECT_TRUE(other.merge(0, row("a", 2, 1, 10), 0, 0).ok());  // the sum includes it
   EXPECT_EQ(served(other), 10 * kProcesses);
 }
 
-// Entries that are too large for a row: one sum, from then on.
+// If the entries become too large for a row, the row is a single sum from then on.
 TEST(ReplicatedCounter, ARowWhoseEntriesAreTooLargeIsOneSum) {
   const std::string long_name(60, 'x');
   ReplicatedCounter::Counts many;
@@ -234,9 +236,9 @@
   EXPECT_EQ(served(other), 205u);
 }
 
-// Rows of programs that know no entries: a row that has folded others is one sum of them, and is never added
-// to what it holds. Beside it an entry that it does not hold counts.
-TEST(ReplicatedCounter, TakesRowsOfOlderProgramsForSums) {
+// A row from an older program version, without entries, that has folded others is a single sum: it is never
+// added to the processes that it includes, but an entry that it does not include counts in addition.
+TEST(ReplicatedCounter, TreatsRowsOfOlderProgramVersionsAsSums) {
   const auto old_row = [](std::uint64_t birth, std::uint64_t counted, std::uint64_t folded) {
     coordination::CounterRow out = row("a", birth, 4, counted);
     coordination::VersionMark& mark = *out.add_folded();
@@ -251,7 +253,7 @@
   EXPECT_EQ(served(other), 110u);
   EXPECT_TRUE(other.merge(0, row("a", 2, 1, 7), 0, 0).ok());
   EXPECT_EQ(served(other), 117u);
-  EXPECT_TRUE(other.merge(0, old_row(2, 107, 1), 0, 0).ok());  // both sums hold process 1
+  EXPECT_TRUE(other.merge(0, old_row(2, 107, 1), 0, 0).ok());  // both sums include process 1
   EXPECT_LE(served(other), 117u);
 
   ReplicatedCounter next(Settings{}, "a", 4, "");
@@ -271,7 +273,7 @@
   EXPECT_FALSE(counter.merge(0, row("b", 1, 99, 1), 0, 0).ok());
 }
 
-TEST(ReplicatedCounter, CountsTheRowsForWhichThereIsNoRoom) {
+TEST(ReplicatedCounter, CountsTheRowsDroppedBecauseTheTableIsFull) {
   Settings settings;
   settings.max_rows = 3;
   ReplicatedCounter counter(settings, "s", 1, "");
