--- a/src/coordination/coordination_status.cpp
+++ b/src/coordination/coordination_status.cpp
@@ -48,8 +48,8 @@
   *out.mutable_table() = lease_table();
   for (const Voter& voter : voters_) *out.add_voters() = voter;
   for (const HeldLease& held : lease_holder_.valid_leases(now)) *out.add_held() = held;
-  *out.add_routers() = membership::word_of(swim_.self());
-  for (const auto& [name, peer] : swim_.others()) *out.add_routers() = membership::word_of(peer);
+  *out.add_routers() = membership::to_member_state(swim_.self());
+  for (const auto& [name, peer] : swim_.others()) *out.add_routers() = membership::to_member_state(peer);
   out.set_health(swim_.health());
   const bool was_answered = voter_answered_at_ >= 0;
   out.set_record_age_ms(
--- a/src/membership/peer.cpp
+++ b/src/membership/peer.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-coordination::MemberState word_of(const Peer& peer) {
+coordination::MemberState to_member_state(const Peer& peer) {
   coordination::MemberState update;
   update.set_name(peer.name);
   update.set_site(peer.site);
--- a/src/membership/peer.h
+++ b/src/membership/peer.h
@@ -34,7 +34,7 @@
 };
 
 // The peer's state as a packet carries it.
-coordination::MemberState word_of(const Peer& peer);
+coordination::MemberState to_member_state(const Peer& peer);
 // Whether the update supersedes the known state.
 bool is_newer(const coordination::MemberState& update, const Peer& known);
 // Whether a correctly working router could have sent the update: checks the lengths of names, the form of
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -150,7 +150,7 @@
     peer->second.standing = coordination::DEAD;
     peer->second.since = now;
     changed_.insert(peer->first);
-    coordination::MemberState update = word_of(peer->second);
+    coordination::MemberState update = to_member_state(peer->second);
     update.set_by(self_.name);
     gossip_.add(update);
   }
@@ -263,7 +263,7 @@
   changed_.insert(peer.name);
   const Micros ends = now + slowed(static_cast<Micros>(suspicion_bounds().maximum));
   suspicions_[peer.name] = {reported_by, {reported_by}, ends};
-  coordination::MemberState update = word_of(peer);
+  coordination::MemberState update = to_member_state(peer);
   update.set_by(reported_by);
   gossip_.add(update);
 }
@@ -370,7 +370,7 @@
   const bool is_listed_as_failed =
       birth == it->second.birth &&
       (it->second.standing == coordination::DEAD || it->second.standing == coordination::SUSPECT);
-  if (is_displaced || is_listed_as_failed) gossip_.add(word_of(it->second));
+  if (is_displaced || is_listed_as_failed) gossip_.add(to_member_state(it->second));
 }
 
 bool Swim::is_unknown(const coordination::Packet& packet) const {
@@ -441,7 +441,7 @@
 void Swim::send_own_state(const std::string& address, const std::string& name) {
   coordination::Packet state = packet(name);
   state.mutable_sync();
-  *state.add_words() = word_of(self());
+  *state.add_words() = to_member_state(self());
   send(address, std::move(state));
 }
 
@@ -540,7 +540,7 @@
       settings_.max_datagram_bytes - std::min(settings_.max_datagram_bytes, used_bytes);
   const auto it = peers_.find(about);
   if (it != peers_.end() && it->second.standing != coordination::ALIVE && !gossip_.contains(about)) {
-    append_update(packet, word_of(it->second), remaining_bytes);
+    append_update(packet, to_member_state(it->second), remaining_bytes);
   }
   const int max_transmissions = static_cast<int>(std::ceil(settings_.retransmit_factor * log_of_size()));
   gossip_.append_to(packet, remaining_bytes, max_transmissions, about);
@@ -561,14 +561,14 @@
 void Swim::send_all_members(const std::string& address, const std::string& name, bool answer) {
   coordination::Packet list = packet(name);
   list.mutable_sync()->set_answer(answer);
-  *list.add_words() = word_of(self());
+  *list.add_words() = to_member_state(self());
   for (const auto& [other, peer] : peers_) {
     if (list.ByteSizeLong() + kMaxUpdateBytes > settings_.max_datagram_bytes) {
       send(address, std::move(list));
       list = packet(name);
       list.mutable_sync();
     }
-    coordination::MemberState update = word_of(peer);
+    coordination::MemberState update = to_member_state(peer);
     if (peer.standing == coordination::SUSPECT) {
       const auto suspicion = suspicions_.find(other);
       if (suspicion != suspicions_.end()) update.set_by(suspicion->second.reported_by);
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -172,7 +172,7 @@
   void replace(Micros now, Peer& peer, const coordination::MemberState& update);
   void suspect(Micros now, Peer& peer, const std::string& reported_by);
   SuspicionBounds suspicion_bounds() const;
-  void spread_own_state() { gossip_.add(word_of(self())); }
+  void spread_own_state() { gossip_.add(to_member_state(self())); }
 
   // ---- sent packets
   // Piggybacks updates, first the one about the member `about`, so that it can refute its status.
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -162,7 +162,7 @@
       packet.set_from(name(i));
       packet.set_birth(1000);
       packet.mutable_sync();
-      if (i != receiver) *packet.add_words() = membership::word_of(routers_[i].self());
+      if (i != receiver) *packet.add_words() = membership::to_member_state(routers_[i].self());
       if (i != receiver || is_last) routers_[receiver].receive(0, address(i), packet.SerializeAsString());
     }
   }
