--- a/src/commands/fleet_member.cpp
+++ b/src/commands/fleet_member.cpp
@@ -24,7 +24,7 @@
   protocol.membership.timeout =
       micros(file.has_probe_timeout_s(), file.probe_timeout_s(), protocol.membership.timeout);
   protocol.membership.seeds.assign(file.seeds().begin(), file.seeds().end());
-  if (file.has_most_routers()) protocol.membership.most_peers = file.most_routers();
+  if (file.has_most_routers()) protocol.membership.max_peers = file.most_routers();
   protocol.self.name = config.name;
   protocol.self.site = file.site();
   protocol.self.at = file.advertise();
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -390,7 +390,7 @@
 // answers.
 void Swim::request_introduction(Micros now, const std::string& address, const std::string& name) {
   ++counters_.unknown_senders;
-  if (!peers_.contains(name) && peers_.size() >= settings_.most_peers) return;
+  if (!peers_.contains(name) && peers_.size() >= settings_.max_peers) return;
   const bool pending = introduction_requests_.contains(name);
   if (pending || introduction_requests_.size() >= kMaxIntroductionRequests) return;
   introduction_requests_[name] = {address, kIntroductionRequestTries, now};
@@ -455,7 +455,7 @@
   if (it == peers_.end()) {
     // There is no need to record the departure or death of a member that was never in the table.
     if (!is_living(update.standing())) return;
-    if (peers_.size() >= settings_.most_peers) {
+    if (peers_.size() >= settings_.max_peers) {
       ++counters_.too_many;
       return;
     }
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -47,7 +47,7 @@
   Micros exchange_interval = 15 * core::kSecond;
   Micros dead_member_ttl = 600 * core::kSecond;  // how long a dead member stays in the table
   // Size limit of the member table; updates about further members are dropped and counted.
-  std::size_t most_peers = 1024;
+  std::size_t max_peers = 1024;
   std::size_t max_datagram_bytes = 1300;
   std::vector<std::string> seeds;  // ADDRESS:PORT of members to join through and to contact periodically
 };
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -17,7 +17,7 @@
 
   coordination::CoordinationSettings set;
   set.membership.fleet = "f";
-  set.membership.most_peers = 16;
+  set.membership.max_peers = 16;
   set.self = {"a", "north", "10.0.0.1:1", 1000};
   set.voters = {{"b", 1, "10.0.0.2:1"}};
   set.jobs = {{"job", ""}};
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -21,7 +21,7 @@
 TEST(Swim, IgnoresInvalidPacketsAndImplausibleUpdates) {
   membership::Settings settings;
   settings.fleet = "f";
-  settings.most_peers = 8;
+  settings.max_peers = 8;
   membership::Swim swim(settings, {"a", "north", "10.0.0.1:1", 1000}, 1);
   swim.start(0);
   const auto receive = [&](const std::function<void(coordination::Packet&)>& fill,
