--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -40,7 +40,7 @@
     to.reject_over_quota = b.beyond() == deploy::Budget::REFUSE;
     to.per_s = amount(b.per_s());
     to.burst = amount(b.burst());
-    to.whole = amount(b.whole());
+    to.window_total = amount(b.whole());
     to.window = b.has_window_s() ? micros(b.window_s()) : 0;
     if (b.has_aside()) to.reserved_share = b.aside();
     to.routers = file.routers();
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -1,8 +1,8 @@
 // A team's budget over the whole fleet, and how it is split between the routers and the quota allocator.
 //
 // A budget is either a quota (a token bucket: at most burst + per_s * t in any time span t) or a stock (at
-// most `whole` in each window). A share of it is reserved in equal parts for the routers, so that a router
-// that is cut off from all others can still serve; the allocator grants the remainder in leases.
+// most `window_total` in each window). A share of it is reserved in equal parts for the routers, so that a
+// router that is cut off from all others can still serve; the allocator grants the remainder in leases.
 // docs/shared.md derives the bounds.
 #pragma once
 
@@ -27,7 +27,7 @@
   std::string name, team;
   bool tokens = false;            // charges prompt tokens plus the output token limit; else requests
   Amount per_s = 0, burst = 0;    // of a quota
-  Amount whole = 0;               // of a stock: total for each window
+  Amount window_total = 0;        // of a stock: total for each window
   Micros window = 0;              // of a stock; 0 marks a quota
   double reserved_share = 0.1;    // of the budget, reserved for routers that are cut off from all others
   bool reject_over_quota = true;  // else requests over quota are admitted, but shed first under load
@@ -41,12 +41,12 @@
   // ---- reserved for each router. For a stock this is a token bucket that yields at most the router's part
   // in any window: half of it as burst, half as rate over the window.
   Amount reserved_burst() const {
-    const double all = reserved_share * static_cast<double>(is_stock() ? whole / 2 : burst);
+    const double all = reserved_share * static_cast<double>(is_stock() ? window_total / 2 : burst);
     return static_cast<Amount>(all / routers);
   }
   double reserved_per_s() const {
     const double all =
-        reserved_share * (is_stock() ? static_cast<double>(whole) / 2e-6 / static_cast<double>(window)
+        reserved_share * (is_stock() ? static_cast<double>(window_total) / 2e-6 / static_cast<double>(window)
                                      : static_cast<double>(per_s));
     return all / routers;
   }
@@ -54,7 +54,7 @@
   // ---- granted by the allocator
   double allocator_per_s() const { return static_cast<double>(per_s) - reserved_per_s() * routers; }
   Amount allocator_whole() const {
-    return whole - static_cast<Amount>(reserved_share * static_cast<double>(whole));
+    return window_total - static_cast<Amount>(reserved_share * static_cast<double>(window_total));
   }
   Amount allocator_burst() const { return burst - reserved_burst() * static_cast<Amount>(routers); }
   // How long a holder may keep a lease. For a quota it is set so that at most two thirds of the allocator's
--- a/src/shared/quota_holder.cpp
+++ b/src/shared/quota_holder.cpp
@@ -31,7 +31,7 @@
 // Bounds what a faulty sender can cause: no lease exceeds the whole budget, and no amount or time is
 // negative.
 bool is_plausible(const coordination::QuotaLease& lease, const Budget& budget) {
-  const Amount max_amount = budget.is_stock() ? budget.whole : budget.burst;
+  const Amount max_amount = budget.is_stock() ? budget.window_total : budget.burst;
   return lease.amount() >= 0 && lease.amount() <= max_amount && lease.valid_us() >= 0 &&
          lease.again_us() >= 0;
 }
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -452,8 +452,8 @@
     } else {
       const std::uint64_t served = ++stock_served_[unix_time(SimulatedRouter{}) / world_.budgets[1].window];
       seen_.stock_served = std::max(seen_.stock_served, served);
-      if (static_cast<shared::Amount>(served) * shared::kUnit > world_.budgets[1].whole)
-        report_violation("a stock of " + std::to_string(world_.budgets[1].whole / shared::kUnit) +
+      if (static_cast<shared::Amount>(served) * shared::kUnit > world_.budgets[1].window_total)
+        report_violation("a stock of " + std::to_string(world_.budgets[1].window_total / shared::kUnit) +
                          " was overspent");
     }
   }
--- a/tests/fuzz/fleet.cpp
+++ b/tests/fuzz/fleet.cpp
@@ -27,7 +27,7 @@
   sharing.max_rows = 8;
   shared::Budget budget;
   budget.name = budget.team = "t";
-  budget.whole = 1000 * shared::kUnit;
+  budget.window_total = 1000 * shared::kUnit;
   budget.window = core::kSecond;
   sharing.budgets = {budget};
   shared::QuotaHolder wallet(sharing.budgets, {"t"}, 1000, 0);
@@ -53,7 +53,8 @@
     wallet.due_requests(now);
     for (const auto& w : agent.take_notifications()) shared_state.receive(now, agent, w);
     shared_state.tick(now + 500'000, agent);
-    if (wallet.held(now, 0) > budget.whole || shared_state.counter().table().rows().size() > 8) std::abort();
+    if (wallet.held(now, 0) > budget.window_total || shared_state.counter().table().rows().size() > 8)
+      std::abort();
     agent.take_events();
   }
   if (agent.membership().others().size() > 16) std::abort();
--- a/tests/measure/shared.cpp
+++ b/tests/measure/shared.cpp
@@ -16,7 +16,7 @@
   quota.routers = 7;
   shared::Budget stock;
   stock.name = stock.team = "s";
-  stock.whole = 700 * kUnit;
+  stock.window_total = 700 * kUnit;
   stock.window = 10 * core::kSecond;
   stock.routers = 7;
 
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -61,7 +61,7 @@
   quota.routers = world.routers;
   shared::Budget stock;
   stock.name = stock.team = "s";
-  stock.whole = 700 * shared::kUnit;
+  stock.window_total = 700 * shared::kUnit;
   stock.window = 10 * core::kSecond;
   stock.routers = world.routers;
   world.budgets = {quota, stock};
--- a/tests/shared/quota_holder_test.cpp
+++ b/tests/shared/quota_holder_test.cpp
@@ -17,7 +17,7 @@
 Budget stock_of_700() {
   Budget stock;
   stock.name = stock.team = "s";
-  stock.whole = 700 * kUnit;
+  stock.window_total = 700 * kUnit;
   stock.window = 10 * core::kSecond;
   stock.reserved_share = 0;
   stock.routers = 7;
