--- a/src/coordination/coordination_status.cpp
+++ b/src/coordination/coordination_status.cpp
@@ -22,7 +22,7 @@
   counters["peers_other_fleet"] = from.other_fleet;
   counters["peers_unreadable"] = from.unreadable;
   counters["peers_not_for_us"] = from.not_for_us;
-  counters["peers_absurd"] = from.absurd;
+  counters["peers_absurd"] = from.implausible;
   counters["peers_too_many"] = from.too_many;
   counters["peers_unknown_senders"] = from.unknown_senders;
   counters["peers_introductions_requested"] = from.introductions_requested;
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -447,7 +447,7 @@
 
 void Swim::apply(Micros now, const coordination::MemberState& update) {
   if (!is_plausible(update)) {
-    ++counters_.absurd;
+    ++counters_.implausible;
     return;
   }
   if (update.name() == self_.name) return apply_to_self(now, update);
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -60,7 +60,7 @@
 // Event counts since the start of the process.
 struct Counters {
   std::uint64_t sent = 0, received = 0, bytes_sent = 0;
-  std::uint64_t other_fleet = 0, unreadable = 0, not_for_us = 0, absurd = 0, too_many = 0;  // dropped
+  std::uint64_t other_fleet = 0, unreadable = 0, not_for_us = 0, implausible = 0, too_many = 0;  // dropped
   std::uint64_t unknown_senders = 0;  // packets from senders missing from the member table
   std::uint64_t introductions_requested = 0, introductions = 0;
   std::uint64_t probes = 0, probes_failed = 0, suspected = 0, refuted = 0, late_ticks = 0;
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -52,7 +52,7 @@
   receive([&](coordination::Packet& packet) { add_state(packet, std::string(65, 'x'), 5, 1, "10.0.0.3:1"); });
   receive([&](coordination::Packet& packet) { add_state(packet, "c", 5, 1, "nowhere"); });
   EXPECT_TRUE(swim.others().empty());
-  EXPECT_EQ(swim.counters().absurd, 4u);
+  EXPECT_EQ(swim.counters().implausible, 4u);
   for (int i = 0; i < 20; ++i)
     receive([&](coordination::Packet& packet) {
       add_state(packet, "n" + std::to_string(i), 5, 1, "10.0.0.3:" + std::to_string(i + 1));
