--- a/tests/coordination/simulated_fleet_test.cpp
+++ b/tests/coordination/simulated_fleet_test.cpp
@@ -66,7 +66,7 @@
   const auto faults = *rc::gen::container<std::vector<Fault>>(any_fault());
   World world;
   world.seed = *rc::gen::arbitrary<std::uint32_t>();
-  const Seen seen = play(world, faults);
+  const SimulationResult seen = play(world, faults);
   if (!seen.broken.empty()) RC_FAIL(seen.broken + describe(world, faults));
 }
 
@@ -116,7 +116,7 @@
       faults.push_back({Fault::Kind::crash, who, 0, 4000 + 2000 * who, 60000});
     faults.resize(3 + seed % 2);
     faults.erase(faults.begin(), faults.begin() + 2);  // a voter and some others; two voters stay
-    const Seen seen = play(world, faults);
+    const SimulationResult seen = play(world, faults);
     EXPECT_EQ(seen.broken, "");
     worst_ms = std::max(worst_ms, seen.gap_ms);
   }
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -86,7 +86,7 @@
     }
   }
 
-  Seen run() {
+  SimulationResult run() {
     for (now_ = 0; now_ < world_.ends * core::kMilli && seen_.broken.empty(); now_ += kStep) {
       step();
       step_shared_state();
@@ -526,11 +526,13 @@
   double quota_level_ = 0;  // of a token bucket that checks the whole fleet's requests against the quota
   std::uint64_t true_count_ = 0;                        // requests served by all routers
   std::map<std::int64_t, std::uint64_t> stock_served_;  // requests served from the stock, by window
-  Seen seen_;
+  SimulationResult seen_;
 };
 
 }  // namespace
 
-Seen play(const World& world, const std::vector<Fault>& faults) { return Simulation(world, faults).run(); }
+SimulationResult play(const World& world, const std::vector<Fault>& faults) {
+  return Simulation(world, faults).run();
+}
 
 }  // namespace flintglade::tests
--- a/tests/fleet/sim.h
+++ b/tests/fleet/sim.h
@@ -72,7 +72,7 @@
   bool over_reserve = false;  // planted bug: holders reserve more for themselves than the allocator assumes
 };
 
-struct Seen {
+struct SimulationResult {
   std::string broken;  // the first rule that was violated, with its time; empty if none
   std::size_t grants = 0, effects = 0, refused = 0;
   double longest_gap_ms = 0;             // longest time that a job had no proved owner, after the faults
@@ -86,6 +86,6 @@
   FnvHash trace;
 };
 
-Seen play(const World& world, const std::vector<Fault>& faults);
+SimulationResult play(const World& world, const std::vector<Fault>& faults);
 
 }  // namespace flintglade::tests
--- a/tests/measure/shared.cpp
+++ b/tests/measure/shared.cpp
@@ -57,7 +57,7 @@
           if (cut == 2) {
             for (unsigned v = 0; v < 3; ++v) faults.push_back({Fault::Kind::cut_off, v, 0, 3000, 17000});
           }
-          const Seen seen = play(w, faults);
+          const SimulationResult seen = play(w, faults);
           if (!seen.broken.empty()) std::printf("BROKEN: %s\n", seen.broken.c_str());
           served += static_cast<double>(seen.served);
           due += static_cast<double>(seen.wanted);
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -89,7 +89,7 @@
   std::uint64_t datagrams, trace;
 };
 
-void expect_recorded(const Seen& seen, const FleetRecording& recorded) {
+void expect_recorded(const SimulationResult& seen, const FleetRecording& recorded) {
   EXPECT_EQ(seen.broken, "");
   EXPECT_EQ(seen.datagrams, recorded.datagrams);
   EXPECT_EQ(seen.trace.value(), recorded.trace);
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -47,7 +47,7 @@
       rc::gen::set(&Fault::length, number(50, 10000))));
 }
 
-std::string describe(const World& world, const Seen& seen, const std::vector<Fault>& faults) {
+std::string describe(const World& world, const SimulationResult& seen, const std::vector<Fault>& faults) {
   std::string text = seen.broken + "; world " + std::to_string(world.seed);
   for (const Fault& fault : faults)
     text += "; kind " + std::to_string(static_cast<int>(fault.kind)) + " who " + std::to_string(fault.who) +
@@ -61,7 +61,7 @@
     const auto faults = *any_faults();
     World world = sharing_world(*rc::gen::arbitrary<std::uint32_t>());
     world.unix_step_s = *rc::gen::element(0.0, 3600.0, -3600.0);
-    const Seen seen = play(world, faults);
+    const SimulationResult seen = play(world, faults);
     if (!seen.broken.empty()) RC_FAIL(describe(world, seen, faults));
   });
 }
@@ -81,7 +81,7 @@
       steps += "; clock of " + std::to_string(who) + " at " + std::to_string(at) + " by " +
                std::to_string(seconds);
     }
-    const Seen seen = play(world, faults);
+    const SimulationResult seen = play(world, faults);
     if (!seen.broken.empty()) RC_FAIL(describe(world, seen, faults) + steps);
   });
 }
@@ -93,7 +93,7 @@
     const auto faults = *any_faults({Fault::Kind::slow, Fault::Kind::stuck, Fault::Kind::disk_fails});
     World world = sharing_world(*rc::gen::arbitrary<std::uint32_t>());
     world.check_bounds = true;
-    const Seen seen = play(world, faults);
+    const SimulationResult seen = play(world, faults);
     if (!seen.broken.empty()) RC_FAIL(describe(world, seen, faults));
   });
 }
@@ -162,7 +162,7 @@
 
 void a_fleet_without_faults_spends_its_budgets() {
   World world = sharing_world(5);
-  const Seen seen = play(world, {});
+  const SimulationResult seen = play(world, {});
   CHECK(seen.broken.empty());
   const double quota = 60.0 * world.ends / 1000;
   std::printf(
