--- a/tests/coordination/simulated_fleet_test.cpp
+++ b/tests/coordination/simulated_fleet_test.cpp
@@ -57,7 +57,7 @@
           faults.push_back({kind, who, who, at, planted.length_ms});
       }
     }
-    if (!play(world, faults).broken.empty()) return true;
+    if (!play(world, faults).violation.empty()) return true;
   }
   return false;
 }
@@ -67,7 +67,7 @@
   World world;
   world.seed = *rc::gen::arbitrary<std::uint32_t>();
   const SimulationResult seen = play(world, faults);
-  if (!seen.broken.empty()) RC_FAIL(seen.broken + describe(world, faults));
+  if (!seen.violation.empty()) RC_FAIL(seen.violation + describe(world, faults));
 }
 
 // A check that cannot fail proves nothing: each rule finds the fault that breaks it.
@@ -101,7 +101,7 @@
       faults.push_back({Fault::Kind::crash, k % 3, 0, at, 300});
       faults.push_back({Fault::Kind::move, k, k, at - 900, 1});  // owners change before
     }
-    found = !play(world, faults).broken.empty();
+    found = !play(world, faults).violation.empty();
   }
   EXPECT_TRUE(found) << "a voter that forgets its last writes was not noticed";
 }
@@ -117,7 +117,7 @@
     faults.resize(3 + seed % 2);
     faults.erase(faults.begin(), faults.begin() + 2);  // a voter and some others; two voters stay
     const SimulationResult seen = play(world, faults);
-    EXPECT_EQ(seen.broken, "");
+    EXPECT_EQ(seen.violation, "");
     worst_ms = std::max(worst_ms, seen.gap_ms);
   }
   std::printf("longest time without an owner, simulated crashes: %.0f ms\n", worst_ms);
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -87,13 +87,13 @@
   }
 
   SimulationResult run() {
-    for (now_ = 0; now_ < world_.ends * core::kMilli && seen_.broken.empty(); now_ += kStep) {
+    for (now_ = 0; now_ < world_.ends * core::kMilli && seen_.violation.empty(); now_ += kStep) {
       step();
       step_shared_state();
     }
-    if (!world_.budgets.empty() && seen_.broken.empty()) check_final_counts();
-    if (seen_.broken.empty() && seen_.longest_gap_ms > 8000)
-      seen_.broken = "a job had no owner for more than 8 s after the faults" + describe_state();
+    if (!world_.budgets.empty() && seen_.violation.empty()) check_final_counts();
+    if (seen_.violation.empty() && seen_.longest_gap_ms > 8000)
+      seen_.violation = "a job had no owner for more than 8 s after the faults" + describe_state();
     return seen_;
   }
 
@@ -138,7 +138,7 @@
   }
 
   void report_violation(const std::string& what) {
-    if (seen_.broken.empty()) seen_.broken = std::to_string(now_ / 1000) + " ms: " + what;
+    if (seen_.violation.empty()) seen_.violation = std::to_string(now_ / 1000) + " ms: " + what;
   }
 
   bool passes(std::size_t from, std::size_t to, Micros& delay) {
--- a/tests/fleet/sim.h
+++ b/tests/fleet/sim.h
@@ -73,7 +73,7 @@
 };
 
 struct SimulationResult {
-  std::string broken;  // the first rule that was violated, with its time; empty if none
+  std::string violation;  // the first rule that was violated, with its time; empty if none
   std::size_t grants = 0, effects = 0, refused = 0;
   double longest_gap_ms = 0;             // longest time that a job had no proved owner, after the faults
   double gap_ms = 0;                     // the same, over the whole run
--- a/tests/measure/shared.cpp
+++ b/tests/measure/shared.cpp
@@ -58,7 +58,7 @@
             for (unsigned v = 0; v < 3; ++v) faults.push_back({Fault::Kind::cut_off, v, 0, 3000, 17000});
           }
           const SimulationResult seen = play(w, faults);
-          if (!seen.broken.empty()) std::printf("BROKEN: %s\n", seen.broken.c_str());
+          if (!seen.violation.empty()) std::printf("BROKEN: %s\n", seen.violation.c_str());
           served += static_cast<double>(seen.served);
           due += static_cast<double>(seen.wanted);
         }
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -90,7 +90,7 @@
 };
 
 void expect_recorded(const SimulationResult& seen, const FleetRecording& recorded) {
-  EXPECT_EQ(seen.broken, "");
+  EXPECT_EQ(seen.violation, "");
   EXPECT_EQ(seen.datagrams, recorded.datagrams);
   EXPECT_EQ(seen.trace.value(), recorded.trace);
 }
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -48,7 +48,7 @@
 }
 
 std::string describe(const World& world, const SimulationResult& seen, const std::vector<Fault>& faults) {
-  std::string text = seen.broken + "; world " + std::to_string(world.seed);
+  std::string text = seen.violation + "; world " + std::to_string(world.seed);
   for (const Fault& fault : faults)
     text += "; kind " + std::to_string(static_cast<int>(fault.kind)) + " who " + std::to_string(fault.who) +
             " whom " + std::to_string(fault.whom) + " at " + std::to_string(fault.at) + " for " +
@@ -62,7 +62,7 @@
     World world = sharing_world(*rc::gen::arbitrary<std::uint32_t>());
     world.unix_step_s = *rc::gen::element(0.0, 3600.0, -3600.0);
     const SimulationResult seen = play(world, faults);
-    if (!seen.broken.empty()) RC_FAIL(describe(world, seen, faults));
+    if (!seen.violation.empty()) RC_FAIL(describe(world, seen, faults));
   });
 }
 
@@ -82,7 +82,7 @@
                std::to_string(seconds);
     }
     const SimulationResult seen = play(world, faults);
-    if (!seen.broken.empty()) RC_FAIL(describe(world, seen, faults) + steps);
+    if (!seen.violation.empty()) RC_FAIL(describe(world, seen, faults) + steps);
   });
 }
 
@@ -94,7 +94,7 @@
     World world = sharing_world(*rc::gen::arbitrary<std::uint32_t>());
     world.check_bounds = true;
     const SimulationResult seen = play(world, faults);
-    if (!seen.broken.empty()) RC_FAIL(describe(world, seen, faults));
+    if (!seen.violation.empty()) RC_FAIL(describe(world, seen, faults));
   });
 }
 
@@ -108,7 +108,7 @@
       for (unsigned who = 0; who < 7; ++who)
         faults.push_back(
             {Fault::Kind::cut_from, who, 0, 3000 + 2400 * who + 50 * static_cast<unsigned>(seed), 2300});
-      if (!play(world, faults).broken.empty()) return true;
+      if (!play(world, faults).violation.empty()) return true;
     }
     return false;
   };
@@ -163,7 +163,7 @@
 void a_fleet_without_faults_spends_its_budgets() {
   World world = sharing_world(5);
   const SimulationResult seen = play(world, {});
-  CHECK(seen.broken.empty());
+  CHECK(seen.violation.empty());
   const double quota = 60.0 * world.ends / 1000;
   std::printf(
       "without faults: %llu of a quota of %.0f served (%llu requested), %llu of a stock of 700; "
