--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -372,7 +372,7 @@
     SimulatedRouter& router = routers_[i];
     shared::Settings settings;
     settings.budgets = world_.budgets;
-    settings.max_requests_per_s = 4 * world_.asked;
+    settings.max_requests_per_s = 4 * world_.requests_per_s;
     shared::SharedState::Ports ports;
     ports.unix_time = [this, i] { return unix_time(routers_[i]); };
     ports.on_lease = [this, i](const coordination::QuotaLease& lease) {
@@ -416,7 +416,7 @@
       if (!is_awake(i)) continue;
       const Micros local = router.local(now_);
       for (std::uint32_t team = 0; team < 2; ++team) {
-        const double mean = world_.asked * router.weight / weights * kStep / 1e6;
+        const double mean = world_.requests_per_s * router.weight / weights * kStep / 1e6;
         for (int n = std::poisson_distribution<>(mean)(random_); n > 0; --n) serve(router, team, local);
       }
       if (now_ >= router.next_lease_request) {
--- a/tests/fleet/sim.h
+++ b/tests/fleet/sim.h
@@ -62,7 +62,7 @@
 
   // Shared state: budgets, requests against them, and request counts. Not simulated without budgets.
   std::vector<shared::Budget> budgets;  // a quota of team "q" and a stock of team "s"
-  double asked = 200.0;                 // requests per second of each team over the whole fleet
+  double requests_per_s = 200.0;        // requests per second of each team over the whole fleet
   // Share of the requests that the first router gets, as a multiple of each other router's share. 0: the
   // shares of the routers are in proportion 1, 1/2, 1/3, ...
   double skew = 0.0;
--- a/tests/measure/shared.cpp
+++ b/tests/measure/shared.cpp
@@ -50,7 +50,7 @@
           w.jobs = 1;
           w.budgets = {quota, stock};
           if (!parts) w.budgets[0].reserved_share = 1.0;
-          w.asked = 60;
+          w.requests_per_s = 60;
           w.skew = skew;
           std::vector<Fault> faults;
           if (cut == 1) faults.push_back({Fault::Kind::split, 3, 0, 3000, 17000});
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -132,7 +132,7 @@
 
 TEST(FleetRecording, MoreAskedThanTheBudgetsHold) {
   World world = sharing_world(16);
-  world.asked = 900.0;
+  world.requests_per_s = 900.0;
   world.skew = 6.0;
   world.budgets[0].burst = 40 * shared::kUnit;
   expect_recorded(
@@ -161,7 +161,7 @@
 // Rows of counts that do not change for a while.
 TEST(FleetRecording, AlmostNothingAsked) {
   World world = sharing_world(19);
-  world.asked = 0.3;
+  world.requests_per_s = 0.3;
   expect_recorded(play(world, {}), kIdleSharing);
 }
 
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -114,7 +114,7 @@
   };
   const auto overload = [](World& world) {
     world.budgets[0].burst = 40 * kUnit;
-    world.asked = 1500;
+    world.requests_per_s = 1500;
   };
   CHECK(!found(overload));
   // Two allocators at a time: voters grant the job again long before its owner's lease expires.
