--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -53,7 +53,7 @@
 
   // ---- granted by the allocator
   double allocator_per_s() const { return static_cast<double>(per_s) - reserved_per_s() * routers; }
-  Amount allocator_whole() const {
+  Amount allocator_window_total() const {
     return window_total - static_cast<Amount>(reserved_share * static_cast<double>(window_total));
   }
   Amount allocator_burst() const { return burst - reserved_burst() * static_cast<Amount>(routers); }
--- a/src/shared/quota_allocator.cpp
+++ b/src/shared/quota_allocator.cpp
@@ -205,7 +205,7 @@
   double demand = 0;
   for (const auto& [router, holder] : account.holders) demand += holder.demand;
   const auto wanted = static_cast<Amount>(demand * static_cast<double>(kDrawAhead) / kMicrosPerSecond);
-  const Amount total = account.budget.allocator_whole();
+  const Amount total = account.budget.allocator_window_total();
   return std::clamp<Amount>(wanted, std::max<Amount>(kUnit, total / kMinDrawDivisor),
                             std::max<Amount>(kUnit, total / kMaxDrawDivisor));
 }
@@ -238,7 +238,7 @@
     draw.set_stock(account.budget.name);
     draw.set_window(account.window);
     draw.set_amount(account.pending_amount);
-    draw.set_whole(account.budget.allocator_whole());
+    draw.set_whole(account.budget.allocator_window_total());
   }
   return draws;
 }
--- a/src/shared/replicated_counter.h
+++ b/src/shared/replicated_counter.h
@@ -60,10 +60,9 @@
 
   // Since the start.
   struct Counters {
-    std::uint64_t folds = 0;       // rows of earlier processes that changed this router's row
-    std::uint64_t superseded = 0;  // rows dropped because a later process's row includes them
-    std::uint64_t not_counted =
-        0;  // rows of earlier processes ignored because a sum includes an older version
+    std::uint64_t folds = 0;        // rows of earlier processes that changed this router's row
+    std::uint64_t superseded = 0;   // rows dropped because a later process's row includes them
+    std::uint64_t not_counted = 0;  // rows of earlier processes ignored, since a sum includes a version
   };
   const Counters& counters() const { return counters_; }
 
--- a/src/shared/shared_state.h
+++ b/src/shared/shared_state.h
@@ -33,7 +33,7 @@
  public:
   using Protocol = coordination::CoordinationProtocol;
 
-  // Callbacks into the rest of the router, called on the protocol's thread.
+  // Callbacks into the router's other components, called on the protocol's thread.
   struct Ports {
     std::function<void(const coordination::QuotaLease&)> on_lease;  // a lease for this router's quota holder
     // Another router requests a lease from this router's quota holder.
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -301,7 +301,7 @@
 
 // Routers that have sent no requests to a dead replica avoid it; forged reports from a single site make no
 // router avoid a healthy one.
-void hearsay(std::uint64_t seed) {
+void health_gossip(std::uint64_t seed) {
   Shape shape;
   shape.replicas = 10;
   shape.sites = 2;
@@ -463,7 +463,7 @@
       {"quota", quota},
       {"stock", stock},
       {"counts", counts},
-      {"hearsay", hearsay},
+      {"hearsay", health_gossip},
       {"cost", cost},
       {"dead_heard", [](std::uint64_t s) { dead_replica(s, true); }},
       {"dead_unheard", [](std::uint64_t s) { dead_replica(s, false); }}};
--- a/tests/fleet/sim.cpp
+++ b/tests/fleet/sim.cpp
@@ -87,14 +87,14 @@
   }
 
   SimulationResult run() {
-    for (now_ = 0; now_ < world_.ends * core::kMilli && seen_.violation.empty(); now_ += kStep) {
+    for (now_ = 0; now_ < world_.ends * core::kMilli && result_.violation.empty(); now_ += kStep) {
       step();
       step_shared_state();
     }
-    if (!world_.budgets.empty() && seen_.violation.empty()) check_final_counts();
-    if (seen_.violation.empty() && seen_.longest_gap_ms > 8000)
-      seen_.violation = "a job had no owner for more than 8 s after the faults" + describe_state();
-    return seen_;
+    if (!world_.budgets.empty() && result_.violation.empty()) check_final_counts();
+    if (result_.violation.empty() && result_.longest_gap_ms > 8000)
+      result_.violation = "a job had no owner for more than 8 s after the faults" + describe_state();
+    return result_;
   }
 
  private:
@@ -138,7 +138,7 @@
   }
 
   void report_violation(const std::string& what) {
-    if (seen_.violation.empty()) seen_.violation = std::to_string(now_ / 1000) + " ms: " + what;
+    if (result_.violation.empty()) result_.violation = std::to_string(now_ / 1000) + " ms: " + what;
   }
 
   bool passes(std::size_t from, std::size_t to, Micros& delay) {
@@ -179,18 +179,18 @@
   // The trace is deterministic because no packet contains a Status, whose maps protobuf serializes in no
   // fixed order: the simulation sends no Query.
   void record(std::size_t sender, const membership::Datagram& datagram) {
-    ++seen_.datagrams;
-    seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
-    seen_.trace.add_integer(sender);
-    seen_.trace.add_text(datagram.to);
-    seen_.trace.add_text(datagram.bytes);
+    ++result_.datagrams;
+    result_.trace.add_integer(static_cast<std::uint64_t>(now_));
+    result_.trace.add_integer(sender);
+    result_.trace.add_text(datagram.to);
+    result_.trace.add_text(datagram.bytes);
   }
   void record(std::size_t receiver, const coordination::JobNotification& notification) {
-    seen_.trace.add_integer(static_cast<std::uint64_t>(now_));
-    seen_.trace.add_integer(receiver);
-    seen_.trace.add_integer(static_cast<std::uint64_t>(notification.kind));
-    seen_.trace.add_text(notification.job);
-    seen_.trace.add_integer(notification.number);
+    result_.trace.add_integer(static_cast<std::uint64_t>(now_));
+    result_.trace.add_integer(receiver);
+    result_.trace.add_integer(static_cast<std::uint64_t>(notification.kind));
+    result_.trace.add_text(notification.job);
+    result_.trace.add_integer(notification.number);
   }
 
   void flush_output(std::size_t i) {
@@ -213,7 +213,7 @@
     }
     for (const coordination::JobNotification& notification : notifications) {
       if (notification.kind != coordination::JobNotification::Kind::effect) continue;
-      ++seen_.effects;
+      ++result_.effects;
       std::uint64_t& highest = routers_[i].accepted_numbers[notification.job];
       if (notification.number < highest)
         report_violation(name(i) + " accepted number " + std::to_string(notification.number) + " of " +
@@ -221,7 +221,7 @@
       highest = std::max(highest, notification.number);
     }
     for (const coordination::Event& event : routers_[i].protocol->take_events()) {
-      seen_.refused += event.name == "stale_fencing_token";
+      result_.refused += event.name == "stale_fencing_token";
       if (event.name != "lease_granted") continue;
       // Each process of a voter applies each grant once, and no number is granted to two owners.
       const std::string owner = event.fields[0].second + " " + event.fields[2].second;
@@ -229,7 +229,7 @@
       if (!fresh && it->second != owner)
         report_violation("number " + event.fields[1].second + " was granted as " + it->second + " and as " +
                          owner);
-      seen_.grants += fresh;
+      result_.grants += fresh;
     }
   }
 
@@ -336,10 +336,10 @@
       Micros& last_owned = last_owned_[job];
       if (!owner.empty()) last_owned = now_;
       const double gap = static_cast<double>(now_ - last_owned) / 1000.0;
-      seen_.gap_ms = std::max(seen_.gap_ms, gap);
+      result_.gap_ms = std::max(result_.gap_ms, gap);
       if (now_ > world_.faults_until * core::kMilli)
-        seen_.longest_gap_ms = std::max(
-            seen_.longest_gap_ms, std::min(gap, static_cast<double>(now_ / 1000 - world_.faults_until)));
+        result_.longest_gap_ms = std::max(
+            result_.longest_gap_ms, std::min(gap, static_cast<double>(now_ / 1000 - world_.faults_until)));
     }
   }
 
@@ -437,7 +437,7 @@
   }
 
   void serve(SimulatedRouter& router, std::uint32_t team, Micros local) {
-    seen_.wanted += team == 0;
+    result_.wanted += team == 0;
     coordination::RequestCounts& count = router.counts[{team == 0 ? "q" : "s", "chat"}];
     if (router.quota_holder->spend(local, team, 0).verdict != shared::QuotaHolder::Verdict::within) {
       count.set_refused(count.refused() + 1);
@@ -446,12 +446,12 @@
     count.set_served(count.served() + 1);
     ++true_count_;
     if (team == 0) {
-      ++seen_.served;
+      ++result_.served;
       quota_level_ -= shared::kUnit;
       if (quota_level_ < -1) report_violation("the quota was overspent by " + std::to_string(-quota_level_));
     } else {
       const std::uint64_t served = ++stock_served_[unix_time(SimulatedRouter{}) / world_.budgets[1].window];
-      seen_.stock_served = std::max(seen_.stock_served, served);
+      result_.stock_served = std::max(result_.stock_served, served);
       if (static_cast<shared::Amount>(served) * shared::kUnit > world_.budgets[1].window_total)
         report_violation("a stock of " + std::to_string(world_.budgets[1].window_total / shared::kUnit) +
                          " was overspent");
@@ -506,8 +506,8 @@
         router.shared_state->status(router.local(now_), *router.protocol, out);
         return out;
       }();
-      seen_.packets += status.shared().counters().at("sent");
-      seen_.bytes += status.shared().counters().at("bytes_sent");
+      result_.packets += status.shared().counters().at("sent");
+      result_.bytes += status.shared().counters().at("bytes_sent");
     }
     if (totals.size() != 1 || *totals.begin() > true_count_ ||
         (crashes == 0 && *totals.begin() != true_count_))
@@ -526,7 +526,7 @@
   double quota_level_ = 0;  // of a token bucket that checks the whole fleet's requests against the quota
   std::uint64_t true_count_ = 0;                        // requests served by all routers
   std::map<std::int64_t, std::uint64_t> stock_served_;  // requests served from the stock, by window
-  SimulationResult seen_;
+  SimulationResult result_;
 };
 
 }  // namespace
--- a/tests/shared_machines_test.cpp
+++ b/tests/shared_machines_test.cpp
@@ -47,8 +47,8 @@
       rc::gen::set(&Fault::length, number(50, 10000))));
 }
 
-std::string describe(const World& world, const SimulationResult& seen, const std::vector<Fault>& faults) {
-  std::string text = seen.violation + "; world " + std::to_string(world.seed);
+std::string describe(const World& world, const SimulationResult& result, const std::vector<Fault>& faults) {
+  std::string text = result.violation + "; world " + std::to_string(world.seed);
   for (const Fault& fault : faults)
     text += "; kind " + std::to_string(static_cast<int>(fault.kind)) + " who " + std::to_string(fault.who) +
             " whom " + std::to_string(fault.whom) + " at " + std::to_string(fault.at) + " for " +
@@ -61,8 +61,8 @@
     const auto faults = *any_faults();
     World world = sharing_world(*rc::gen::arbitrary<std::uint32_t>());
     world.unix_step_s = *rc::gen::element(0.0, 3600.0, -3600.0);
-    const SimulationResult seen = play(world, faults);
-    if (!seen.violation.empty()) RC_FAIL(describe(world, seen, faults));
+    const SimulationResult result = play(world, faults);
+    if (!result.violation.empty()) RC_FAIL(describe(world, result, faults));
   });
 }
 
@@ -81,8 +81,8 @@
       steps += "; clock of " + std::to_string(who) + " at " + std::to_string(at) + " by " +
                std::to_string(seconds);
     }
-    const SimulationResult seen = play(world, faults);
-    if (!seen.violation.empty()) RC_FAIL(describe(world, seen, faults) + steps);
+    const SimulationResult result = play(world, faults);
+    if (!result.violation.empty()) RC_FAIL(describe(world, result, faults) + steps);
   });
 }
 
@@ -93,8 +93,8 @@
     const auto faults = *any_faults({Fault::Kind::slow, Fault::Kind::stuck, Fault::Kind::disk_fails});
     World world = sharing_world(*rc::gen::arbitrary<std::uint32_t>());
     world.check_bounds = true;
-    const SimulationResult seen = play(world, faults);
-    if (!seen.violation.empty()) RC_FAIL(describe(world, seen, faults));
+    const SimulationResult result = play(world, faults);
+    if (!result.violation.empty()) RC_FAIL(describe(world, result, faults));
   });
 }
 
@@ -162,18 +162,18 @@
 
 void a_fleet_without_faults_spends_its_budgets() {
   World world = sharing_world(5);
-  const SimulationResult seen = play(world, {});
-  CHECK(seen.violation.empty());
+  const SimulationResult result = play(world, {});
+  CHECK(result.violation.empty());
   const double quota = 60.0 * world.ends / 1000;
   std::printf(
       "without faults: %llu of a quota of %.0f served (%llu requested), %llu of a stock of 700; "
       "%.0f packets and %.0f bytes per second and router\n",
-      static_cast<unsigned long long>(seen.served), quota, static_cast<unsigned long long>(seen.wanted),
-      static_cast<unsigned long long>(seen.stock_served),
-      static_cast<double>(seen.packets) / 7 / (world.ends / 1000.0 + 12),
-      static_cast<double>(seen.bytes) / 7 / (world.ends / 1000.0 + 12));
-  CHECK(static_cast<double>(seen.served) > 0.75 * quota);
-  CHECK(seen.stock_served > 560);
+      static_cast<unsigned long long>(result.served), quota, static_cast<unsigned long long>(result.wanted),
+      static_cast<unsigned long long>(result.stock_served),
+      static_cast<double>(result.packets) / 7 / (world.ends / 1000.0 + 12),
+      static_cast<double>(result.bytes) / 7 / (world.ends / 1000.0 + 12));
+  CHECK(static_cast<double>(result.served) > 0.75 * quota);
+  CHECK(result.stock_served > 560);
 }
 
 // ---- request counters
