--- a/src/coordination/coordination_status.cpp
+++ b/src/coordination/coordination_status.cpp
@@ -22,7 +22,7 @@
   counters["peers_other_fleet"] = from.other_fleet;
   counters["peers_unreadable"] = from.unreadable;
   counters["peers_not_for_us"] = from.not_for_us;
-  counters["peers_absurd"] = from.absurd;
+  counters["peers_absurd"] = from.implausible;
   counters["peers_too_many"] = from.too_many;
   counters["peers_unknown_senders"] = from.unknown_senders;
   counters["peers_introductions_requested"] = from.introductions_requested;
@@ -48,8 +48,8 @@
   *out.mutable_table() = lease_table();
   for (const Voter& voter : voters_) *out.add_voters() = voter;
   for (const HeldLease& held : lease_holder_.valid_leases(now)) *out.add_held() = held;
-  *out.add_routers() = membership::word_of(swim_.self());
-  for (const auto& [name, peer] : swim_.others()) *out.add_routers() = membership::word_of(peer);
+  *out.add_routers() = membership::to_member_state(swim_.self());
+  for (const auto& [name, peer] : swim_.others()) *out.add_routers() = membership::to_member_state(peer);
   out.set_health(swim_.health());
   const bool was_answered = voter_answered_at_ >= 0;
   out.set_record_age_ms(
--- a/tests/measure/shared.cpp
+++ b/tests/measure/shared.cpp
@@ -16,7 +16,7 @@
   quota.routers = 7;
   shared::Budget stock;
   stock.name = stock.team = "s";
-  stock.whole = 700 * kUnit;
+  stock.window_total = 700 * kUnit;
   stock.window = 10 * core::kSecond;
   stock.routers = 7;
 
@@ -50,15 +50,15 @@
           w.jobs = 1;
           w.budgets = {quota, stock};
           if (!parts) w.budgets[0].reserved_share = 1.0;
-          w.asked = 60;
+          w.requests_per_s = 60;
           w.skew = skew;
           std::vector<Fault> faults;
           if (cut == 1) faults.push_back({Fault::Kind::split, 3, 0, 3000, 17000});
           if (cut == 2) {
             for (unsigned v = 0; v < 3; ++v) faults.push_back({Fault::Kind::cut_off, v, 0, 3000, 17000});
           }
-          const Seen seen = play(w, faults);
-          if (!seen.broken.empty()) std::printf("BROKEN: %s\n", seen.broken.c_str());
+          const SimulationResult seen = play(w, faults);
+          if (!seen.violation.empty()) std::printf("BROKEN: %s\n", seen.violation.c_str());
           served += static_cast<double>(seen.served);
           due += static_cast<double>(seen.wanted);
         }
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -61,7 +61,7 @@
   quota.routers = world.routers;
   shared::Budget stock;
   stock.name = stock.team = "s";
-  stock.whole = 700 * shared::kUnit;
+  stock.window_total = 700 * shared::kUnit;
   stock.window = 10 * core::kSecond;
   stock.routers = world.routers;
   world.budgets = {quota, stock};
@@ -89,8 +89,8 @@
   std::uint64_t datagrams, trace;
 };
 
-void expect_recorded(const Seen& seen, const FleetRecording& recorded) {
-  EXPECT_EQ(seen.broken, "");
+void expect_recorded(const SimulationResult& seen, const FleetRecording& recorded) {
+  EXPECT_EQ(seen.violation, "");
   EXPECT_EQ(seen.datagrams, recorded.datagrams);
   EXPECT_EQ(seen.trace.value(), recorded.trace);
 }
@@ -132,7 +132,7 @@
 
 TEST(FleetRecording, MoreAskedThanTheBudgetsHold) {
   World world = sharing_world(16);
-  world.asked = 900.0;
+  world.requests_per_s = 900.0;
   world.skew = 6.0;
   world.budgets[0].burst = 40 * shared::kUnit;
   expect_recorded(
@@ -161,7 +161,7 @@
 // Rows of counts that do not change for a while.
 TEST(FleetRecording, AlmostNothingAsked) {
   World world = sharing_world(19);
-  world.asked = 0.3;
+  world.requests_per_s = 0.3;
   expect_recorded(play(world, {}), kIdleSharing);
 }
 
