--- a/src/coordination/audit.cpp
+++ b/src/coordination/audit.cpp
@@ -12,7 +12,7 @@
 
 using Fields = std::map<std::string, std::string>;
 
-// Unix time in ms; -1: not a time as src/log writes it.
+// Unix time in ms; -1 if the text is not in the time format of src/log.
 std::int64_t parse_time(const std::string& text) {
   std::tm time{};
   int ms = 0;
@@ -30,7 +30,7 @@
   return job + " " + std::to_string(number);
 }
 
-// Logs of earlier versions name the same events otherwise; a fleet of mixed versions has both.
+// Earlier versions log the same events under other names; a fleet of mixed versions has both.
 std::string_view current_event_name(std::string_view name) {
   if (name == "job_granted") return "lease_granted";
   if (name == "job_starts") return "lease_acquired";
@@ -49,7 +49,7 @@
   return fields;
 }
 
-// The end of the value that begins at `begin`, with its quotes if it has any; npos: a quote is not closed.
+// The end of the value that begins at `begin`, including its quotes; npos if a quote is not closed.
 std::size_t value_end(std::string_view text, std::size_t begin) {
   if (begin >= text.size() || text[begin] != '"') return std::min(text.find(' ', begin), text.size());
   std::size_t end = begin + 1;
@@ -111,7 +111,7 @@
 
 void Audit::add_line(const LogLine& line, Process& process) {
   const std::string_view event = current_event_name(line.event);
-  if (event == "listening" && line["wire"] == "http") {  // a new process, which has seen no token yet
+  if (event == "listening" && line["wire"] == "http") {  // a new process, which has not seen any token yet
     process.highest_tokens.clear();
     end_all("its process ended", process);
   } else if (event == "lease_granted") {
@@ -138,7 +138,7 @@
 void Audit::add_applied_effect(const LogLine& line, Process& process) {
   std::uint64_t& highest = process.highest_tokens[line["job"]];
   if (lease_number(line) < highest)
-    violations_.push_back(process.router + " took an effect of " + line["job"] + " " + line["number"] +
+    violations_.push_back(process.router + " applied an effect of " + line["job"] + " " + line["number"] +
                           " after number " + std::to_string(highest));
   highest = std::max(highest, lease_number(line));
 }
@@ -176,16 +176,16 @@
 
 std::vector<std::string> Audit::violations() const {
   std::vector<std::string> out = violations_;
-  std::map<std::string, std::string> owners;  // "JOB NUMBER" -> the router that ran it first
+  std::map<std::string, std::string> owners;  // "JOB NUMBER" -> its first owner
   for (const Ownership& ownership : ownerships_) {
     const std::string lease = lease_key(ownership.job, ownership.number);
-    const std::string ran = ownership.job + " number " + std::to_string(ownership.number) + " ran at ";
+    const std::string prefix = ownership.job + " number " + std::to_string(ownership.number) + " ran at ";
     const auto [owner, is_first] = owners.emplace(lease, ownership.router);
     if (!is_first && owner->second != ownership.router)
-      out.push_back(ran + owner->second + " and at " + ownership.router);
+      out.push_back(prefix + owner->second + " and at " + ownership.router);
     const auto granted = granted_.find(lease);
     if (granted != granted_.end() && granted->second != ownership.router)
-      out.push_back(ran + ownership.router + " and was granted to " + granted->second);
+      out.push_back(prefix + ownership.router + " and was granted to " + granted->second);
   }
   return out;
 }
--- a/src/coordination/audit.h
+++ b/src/coordination/audit.h
@@ -1,7 +1,7 @@
 // `fleet audit`: reads the logs of a fleet's routers and checks the rules of leases and fencing tokens.
 //
-// Pure. The rules rest on lease numbers, not on the routers' clocks; only the times without an owner rest on
-// clocks.
+// Pure functions of the logs. The rules are checked by lease numbers, independent of the routers' clocks;
+// only the durations between ownerships depend on clocks.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,22 @@
 
 struct LogLine {
   std::int64_t ms = -1;  // Unix time
-  std::string event;     // as it stands in the log, also if it is a name of an earlier version
+  std::string event;     // the name in the log, which may be one of an earlier version
   std::map<std::string, std::string> fields;
 
-  // Empty: there is no such field.
+  // Empty if there is no such field.
   std::string operator[](const std::string& key) const {
     const auto it = fields.find(key);
     return it == fields.end() ? "" : it->second;
   }
 };
 
-// A line as src/log writes it, as text or as JSON. Nothing: it is none, or incomplete.
+// Parses a line that src/log wrote, as text or as JSON. Nullopt if the line is not one or is incomplete.
 std::optional<LogLine> parse_log_line(std::string_view text);
 
 class Audit {
  public:
-  // One router's ownership of a job under one number, by its own log.
+  // One router's ownership of a job under one lease number, according to its own log.
   struct Ownership {
     std::string job, router;
     std::uint64_t number = 0;
@@ -38,24 +38,24 @@
     std::string end_reason;
   };
 
-  // A router's log, oldest line first. Other lines are passed over and counted. Several processes of one
-  // router, one after another, may stand in one log.
+  // Adds a router's log, oldest line first. Lines that cannot be parsed are skipped and counted. A log may
+  // contain several consecutive processes of the router.
   void add_log(const std::string& router, std::string_view log);
 
-  // One line for each violation of a rule; empty: none was found.
+  // One line for each violation of a rule.
   std::vector<std::string> violations() const;
-  // By job and number.
+  // Sorted by job and number.
   std::vector<Ownership> ownerships() const;
   std::uint64_t unparsed_lines() const { return unparsed_lines_; }
-  // Effects that were refused for a stale fencing token.
+  // Number of effects that were rejected for a stale fencing token.
   std::uint64_t stale_effects() const { return stale_effects_; }
 
  private:
-  // What is known of the process whose lines are being read.
+  // State of the process whose lines are being read.
   struct Process {
     std::string router;
-    std::map<std::string, std::uint64_t> highest_tokens;  // by job, of effects that it applied
-    std::map<std::string, std::size_t> owned;             // by job, the place in ownerships_
+    std::map<std::string, std::uint64_t> highest_tokens;  // by job: of the effects that it applied
+    std::map<std::string, std::size_t> owned;             // by job: the index in ownerships_
     std::int64_t last_ms = 0;
   };
 
@@ -68,7 +68,7 @@
 
   std::vector<Ownership> ownerships_;
   std::vector<std::string> violations_;
-  std::map<std::string, std::string> granted_;  // "JOB NUMBER" -> the router, by the voters' logs
+  std::map<std::string, std::string> granted_;  // "JOB NUMBER" -> the new owner, from the voters' logs
   std::uint64_t unparsed_lines_ = 0, stale_effects_ = 0;
 };
 
--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -6,13 +6,14 @@
 namespace flintglade::coordination {
 namespace {
 
-// Notifications that wait to be taken; more are dropped, as a datagram may be.
+// Limit on the notifications that wait to be taken. Further ones are dropped, as if their datagrams were
+// lost.
 constexpr std::size_t kMaxNotifications = 4096;
-// With no leader known for so long, the jobs are taken to rest.
+// After this time without a known leader, the fleet's jobs count as stopped.
 constexpr Micros kLeaderUnknownTimeout = 3 * core::kSecond;
-// The longest that a shutdown waits for the voters.
+// Limit on the time that a shutdown waits for the voters.
 constexpr Micros kMaxLeaveDuration = 500 * core::kMilli;
-// A leader that has not answered for so many polls is asked no more.
+// A leader that has not answered for this many poll periods gets no further requests.
 constexpr int kPollsUntilLeaderForgotten = 3;
 
 const char* event_name(MemberStatus status) {
@@ -124,12 +125,12 @@
   }
 }
 
-// A newer process of this name takes part in this one's place.
+// A newer process with this router's name has replaced this one in the fleet.
 void CoordinationProtocol::check_displacement() {
   if (!swim_.displaced() || is_displaced_) return;
   is_displaced_ = true;
   log_event("displaced_by_newer_process",
-            {{"name", settings_.self.name}, {"by", "a process of this name that began later"}}, true);
+            {{"name", settings_.self.name}, {"by", "a process of this name that started later"}}, true);
   lease_holder_.on_lease_table({}, 0);
 }
 
@@ -137,7 +138,7 @@
   if (!raft_node_ || !raft_node_->is_halted() || is_halt_logged_) return;
   is_halt_logged_ = true;
   log_event("raft_node_halted",
-            {{"why", raft_node_->halt_reason()}, {"votes", "no more, until the next start"}}, true);
+            {{"why", raft_node_->halt_reason()}, {"votes", "none until this router restarts"}}, true);
 }
 
 void CoordinationProtocol::follow_leadership(Micros now) {
@@ -148,13 +149,13 @@
             {{"term", std::to_string(raft_node_->term())}});
   if (!leads) return lease_manager_.on_leadership_lost();
   lease_manager_.on_leadership_acquired(now);
-  // Entries of earlier terms are committed by a first entry of this term (Raft, section 5.4.2).
+  // A leader can commit entries of earlier terms only through an entry of its own term (Raft, section 5.4.2).
   Command empty_renewal;
   empty_renewal.mutable_renew();
   raft_node_->propose(now, empty_renewal, [](const absl::Status&, const Applied&) {});
 }
 
-// A grant that is not committed is decided on again, so nobody waits for the end of a proposal.
+// The result of a proposal is not needed: a grant that is not committed is decided on again.
 void CoordinationProtocol::propose_grants(Micros now) {
   if (!was_leader_) return;
   for (const Command& grant :
@@ -177,7 +178,7 @@
     has_known_leader_ = true;
   } else if (has_known_leader_ && now - leader_known_at_ > kLeaderUnknownTimeout) {
     has_known_leader_ = false;
-    log_event("leader_unknown", {{"jobs", "rest"}, {"routers", "each do for themselves"}}, true);
+    log_event("leader_unknown", {{"jobs", "rest"}, {"routers", "each works without the fleet's jobs"}}, true);
   }
 }
 
@@ -217,12 +218,12 @@
         change.acquired ? JobNotification::Kind::lease_acquired : JobNotification::Kind::lease_released;
     notification.job = change.job;
     notification.number = change.number;
-    notifications_.push_back(std::move(notification));  // never dropped, unlike those of datagrams
+    notifications_.push_back(std::move(notification));  // never dropped, unlike notifications of datagrams
   }
 }
 
-// Once its own leases are released: without a transfer nobody would grant or renew anything until the other
-// voters have missed this leader and held an election.
+// Runs once this router's own leases are released. Without a transfer no lease would be granted or renewed
+// until the other voters time out and elect a new leader.
 void CoordinationProtocol::transfer_leadership_on_leave(Micros now) {
   if (leaving_since_ < 0 || is_transferring_leadership_ || !is_leader() || !owns_no_job()) return;
   is_transferring_leadership_ = raft_node_->transfer_leadership(now);
@@ -230,7 +231,7 @@
     log_event("leadership_transferred", {{"term", std::to_string(raft_node_->term())}});
 }
 
-// The leader, if one is known; else each voter in its turn.
+// The leader, if one is known; otherwise the voters in turn.
 std::string CoordinationProtocol::next_voter_address() {
   if (!leader_address_.empty() && leader_address_ != settings_.self.at) return leader_address_;
   for (std::size_t i = 0; i < voters_.size(); ++i) {
@@ -298,7 +299,7 @@
 }
 
 absl::Status CoordinationProtocol::check_request(const Request& request) const {
-  // Only the leader decides on grants.
+  // Grants are decided by the leader only, never requested.
   if (!request.has_command() || request.command().has_grant())
     return absl::PermissionDeniedError("not for routers to ask");
   return request.command().has_move() ? check_move(request.command().move()) : absl::OkStatus();
@@ -314,7 +315,7 @@
   return is_alive ? absl::OkStatus() : absl::NotFoundError("no such router is alive");
 }
 
-// A renewal that goes into the log counts already for the grants that are decided next.
+// A proposed renewal already counts when the next grants are decided.
 void CoordinationProtocol::count_proposed_renewal(Micros now, const Command& command) {
   for (const HeldLease& held : raft_node_->lease_state_machine().still_held(command.renew()))
     lease_manager_.on_renewed(now, command.renew().owner(), held);
@@ -357,7 +358,7 @@
 }
 
 void CoordinationProtocol::on_record(Micros now, const Record& record) {
-  if (is_voting()) return;  // a voter applies the log itself
+  if (is_voting()) return;  // a voter has the table from its own log
   voter_answered_at_ = now;
   leader_address_ = record.leader_at();
   if (record.voters_size() > 0) voters_.assign(record.voters().begin(), record.voters().end());
@@ -376,7 +377,7 @@
   return out;
 }
 
-// A query for the status comes from a command that may not know the fleet's name.
+// A status query comes from a command that may not know the name of the fleet.
 bool CoordinationProtocol::is_for_us(const Packet& packet) const {
   const bool is_our_fleet = packet.fleet() == settings_.membership.fleet;
   const bool is_open_query = packet.has_query() && packet.fleet().empty();
@@ -389,7 +390,8 @@
   const bool is_ours =
       packet.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) && is_for_us(packet);
   if (is_ours && packet.has_query()) return send_status(now, sender_address);
-  // The kinds below kRaft are membership's, which also counts what is not ours.
+  // Messages numbered below kRaft belong to membership, which also counts packets that are not for this
+  // router.
   if (!is_ours || packet.what_case() < Packet::kRaft) {
     swim_.receive(now, sender_address, bytes);
     return run_steps(now);
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -1,9 +1,10 @@
-// A router's part in its fleet, without I/O: membership (membership::Swim), the voter if this router is one
-// (RaftNode), the leader's decisions (LeaseManager), this router's own jobs (LeaseHolder), the fencing tokens
-// that it has seen (FencingTokens), and the datagrams between routers.
+// The coordination protocol of one router, without I/O: membership (membership::Swim), the voter if this
+// router is one (RaftNode), the leader's decisions (LeaseManager), this router's own jobs (LeaseHolder), the
+// fencing tokens that it has seen (FencingTokens), and the datagrams between routers.
 //
-// Datagrams and time are handed in; datagrams, log events and notifications are taken out. One thread
-// (CoordinationRuntime's), one clock for all times, which also runs while the machine sleeps.
+// The caller passes in datagrams and the time, and takes out datagrams, log events and notifications. Used on
+// one thread only (CoordinationRuntime's). All times are of one clock, which also runs while the machine
+// sleeps.
 //
 // docs/fleet.md describes jobs, leases and what happens when routers fail.
 #pragma once
@@ -28,7 +29,7 @@
 
 namespace flintglade::coordination {
 
-// A voter as the operator's file names it. The address is host:port.
+// A voter in the operator's configuration. The address is host:port.
 struct VoterAddress {
   std::string router;
   std::uint64_t id = 0;
@@ -40,32 +41,33 @@
   membership::Self self;
   LeaseTimes lease_times;
   RaftTimes raft_times;
-  std::vector<VoterAddress> voters;  // by the file; the lease table's voters may have changed since
+  std::vector<VoterAddress> voters;  // as configured; the voters may have been changed since
   std::vector<JobSettings> jobs;
-  // How often a router that does not vote asks a voter for the lease table.
+  // How often a router that does not vote requests the lease table from a voter.
   Micros lease_table_poll_period = 500 * core::kMilli;
-  // A leader that leaves a request unanswered for so long is asked no more.
+  // A leader that does not answer a request within this time gets no further requests.
   Micros request_timeout = 250 * core::kMilli;
 };
 
-// A line for the log.
+// An event for the log.
 struct Event {
   std::string name;
   std::vector<std::pair<std::string, std::string>> fields;
   bool warning = false;
 };
 
-// What happened to a job of this router, or what another router sent for one. Fields that a kind does not
-// name are empty.
+// A change to one of this router's jobs, or a message from another router. Only the fields that are listed at
+// its kind are set.
 struct JobNotification {
   enum class Kind {
-    // This router may do the job from now on (job, number).
+    // This router may perform the job from now on (job, number).
     lease_acquired,
-    // It may not any more (job, number).
+    // This router may no longer perform the job (job, number).
     lease_released,
-    // Another owner's effect, admitted by its fencing token (job, number, effect, sender_address, revision).
+    // An effect of another owner, admitted by its fencing token (job, number, effect, sender_address,
+    // revision).
     effect,
-    // A router asks for what came after this revision of the list (job, sender_address, revision).
+    // A router requests the changes after this revision of the endpoint list (job, sender_address, revision).
     list_requested,
     // A message about state that routers share (shared_state, sender, sender_birth, sender_address).
     shared_state,
@@ -78,13 +80,13 @@
   std::uint32_t revision = 0;
   SharedStateMessage shared_state;
   std::string sender;
-  std::uint64_t sender_birth = 0;  // tells the processes of one router apart
+  std::uint64_t sender_birth = 0;  // of its process: microseconds of Unix time
 };
 
 class CoordinationProtocol {
  public:
   CoordinationProtocol(CoordinationSettings settings, std::uint64_t seed);
-  // Ends what the voter has under way, which needs the other members.
+  // The voter is destroyed first: its pending proposals end with callbacks that use the other members.
   ~CoordinationProtocol() { raft_node_.reset(); }
   CoordinationProtocol(const CoordinationProtocol&) = delete;
   CoordinationProtocol& operator=(const CoordinationProtocol&) = delete;
@@ -98,28 +100,28 @@
   void tick(Micros now);
   // When to call tick().
   Micros next_timer() const;
-  // Releases this router's leases, tells the others, and takes no new ones.
+  // Releases this router's leases, notifies the other routers, and acquires no new leases.
   void leave(Micros now);
-  // After leave(): the voters know, or it has taken long enough.
+  // After leave(): whether the voters have released the leases, or the time limit has passed.
   bool has_left(Micros now) const;
 
-  // Writes an effect to all routers of a site (empty: of the fleet), or to one address, if this router's
-  // lease on the job is valid at this moment. False: nothing was written.
+  // Sends an effect to all routers of a site (empty: of the fleet), or to one address, if this router's lease
+  // on the job is valid now. Returns false if it is not; then nothing is sent.
   bool send_effect(Micros now, Effect effect, const std::string& site, const std::string& address = "");
   void send_shared_state(const std::string& router, const std::string& address,
                          const SharedStateMessage& message);
-  // For the owner of a job: proposes to draw from a stock. The lease table tells how much was granted.
+  // For the owner of a job: proposes to draw from a stock. The granted amount appears in the lease table.
   void draw_from_stock(Micros now, const StockDraw& draw);
-  // Asks the owner of a job for what came after this revision of the list.
+  // Requests the changes after this revision of the endpoint list from the owner of a job.
   void request_list(const std::string& job, std::uint32_t revision);
 
-  // What came out since the last call.
+  // The output since the last call.
   std::vector<membership::Datagram> take_datagrams();
   std::vector<Event> take_events() { return std::exchange(events_, {}); }
   std::vector<JobNotification> take_notifications() { return std::exchange(notifications_, {}); }
 
   const membership::Swim& membership() const { return swim_; }
-  // Null: this router is no voter.
+  // Null if this router is not a voter.
   const RaftNode* raft_node() const { return raft_node_.get(); }
   const LeaseTable& lease_table() const {
     return is_voting() ? raft_node_->lease_state_machine().table() : lease_table_;
@@ -127,10 +129,11 @@
   bool has_valid_lease(Micros now, const std::string& job) const {
     return lease_holder_.has_valid_lease(now, job);
   }
-  // The owner of a job by the lease table; null: nobody, or a router that this one does not know.
+  // The owner of a job according to the lease table; null if there is none or this router does not know it.
   const membership::Peer* find_owner(const std::string& job) const;
   Status status(Micros now) const;
-  // Called for each status that another process asks for, to add what belongs to other parts of the router.
+  // `extend` is called for each status that another process requests; it adds the status of other parts of
+  // the router.
   void set_status_extension(std::function<void(Micros, Status&)> extend) {
     extend_status_ = std::move(extend);
   }
@@ -140,9 +143,9 @@
  private:
   bool is_voting() const { return raft_node_ && !raft_node_->is_halted(); }
   bool is_leader() const { return raft_node_ && raft_node_->is_leader(); }
-  bool owns_no_job() const;  // by the lease table
+  bool owns_no_job() const;  // according to the lease table
 
-  // The steps that follow from each datagram and tick, in this order.
+  // The steps that run after each datagram and tick, in this order.
   void run_steps(Micros now);
   void log_membership_changes();
   void check_displacement();
@@ -156,7 +159,7 @@
   void notify_lease_changes(Micros now);
   void transfer_leadership_on_leave(Micros now);
 
-  // Requests to voters, and their replies.
+  // Requests to voters and their replies.
   void send_command(Micros now, const Command& command);
   std::string next_voter_address();
   void on_reply(Micros now, const Reply& reply);
@@ -194,14 +197,14 @@
   PendingRequests pending_requests_;
   LeaseTable lease_table_;  // a copy, of a router that does not vote
   std::vector<Voter> voters_;
-  std::size_t next_voter_ = 0;  // whom to ask while no leader is known
-  std::string leader_address_;  // empty: none is known
+  std::size_t next_voter_ = 0;  // the voter that gets the next request while no leader is known
+  std::string leader_address_;  // empty if no leader is known
   bool has_known_leader_ = false;
   Micros leader_known_at_ = 0;
   Micros voter_answered_at_ = -1;  // -1: never
   Micros next_poll_ = 0;
-  Micros leaving_since_ = -1;  // -1: this router does not leave
-  Micros now_ = 0;             // of the last call, for what the voter applies
+  Micros leaving_since_ = -1;  // -1: this router is not leaving
+  Micros now_ = 0;             // time of the last call, for on_applied()
   std::uint64_t last_effect_sequence_ = 0;
   std::vector<membership::Datagram> datagrams_;
   std::vector<Event> events_;
@@ -212,16 +215,16 @@
   std::function<void(Micros, Status&)> extend_status_;
 };
 
-// A part of the router that shares the protocol's datagrams, thread and clock.
+// A part of the router that uses the protocol's datagrams, thread and clock.
 class ProtocolExtension {
  public:
   virtual ~ProtocolExtension() = default;
-  // Each notification, in order.
+  // Called for each notification, in order.
   virtual void receive(Micros now, CoordinationProtocol& protocol, const JobNotification& notification) = 0;
   virtual void tick(Micros now, CoordinationProtocol& protocol) = 0;
   // When to call tick().
   virtual Micros next_timer() const = 0;
-  // Adds its part to a status.
+  // Adds this part's status.
   virtual void status(Micros now, const CoordinationProtocol& protocol, Status& out) const = 0;
 };
 
--- a/src/coordination/coordination_runtime.cpp
+++ b/src/coordination/coordination_runtime.cpp
@@ -19,13 +19,13 @@
 namespace {
 
 constexpr std::size_t kMaxDatagramBytes = 65536;
-// Datagrams that are read before what follows from them is sent.
+// Limit on the datagrams that are read before the resulting ones are sent.
 constexpr int kMaxDatagramsPerIteration = 256;
-// While an earlier process of this router still has the address.
+// Between attempts to bind the address, which an earlier process of this router may still have.
 constexpr std::chrono::milliseconds kOpenRetryDelay{200};
-// How often has_left() is looked at.
+// How often has_left() is checked during a shutdown.
 constexpr Micros kLeavePollPeriod = 50 * core::kMilli;
-// Of a timer that nobody set.
+// The timer's period when nothing is due.
 constexpr Micros kIdlePeriod = core::kSecond;
 
 bool parse_endpoint(const std::string& text, udp::endpoint& out) {
@@ -66,7 +66,8 @@
 }
 
 void CoordinationRuntime::start() {
-  // Any bytes may come to the socket: what is no message is counted, and protobuf would log a line for each.
+  // The socket may receive arbitrary bytes. Packets that cannot be parsed are counted; by default protobuf
+  // would also log a line for each.
   google::protobuf::SetLogHandler(nullptr);
   thread_ = std::thread([this] {
     asio::post(io_, [this] { open(); });
@@ -74,7 +75,8 @@
   });
 }
 
-// The address before the directory: the process that has the address takes part under this router's name.
+// The address is bound before the directory is opened: the process that has the address is the one that takes
+// part in the fleet under this router's name.
 void CoordinationRuntime::open() {
   if (const error_code error = bind_socket()) return retry_open(error);
   start_protocol();
@@ -95,7 +97,7 @@
     log::event(
         Level::warn, "coordination_socket_unavailable",
         {{"at", config::host_port(settings_.listen.host, settings_.listen.port)}, {"why", error.message()}});
-  error_code ignored;  // the socket is opened anew in any case
+  error_code ignored;  // a new socket is opened in any case
   socket_.close(ignored);
   open_retry_timer_.expires_after(kOpenRetryDelay);
   open_retry_timer_.async_wait([this](error_code stopped) {
@@ -111,7 +113,7 @@
   if (settings_.voter_id != 0) {
     const absl::Status status = start_voting();
     if (!status.ok()) {
-      // Nothing of the voter takes part: this router follows the other voters.
+      // Starts over without the voter; this router follows the other voters.
       protocol_ = std::make_unique<CoordinationProtocol>(settings_.protocol, settings_.seed);
       storage_.reset();
     }
@@ -135,11 +137,13 @@
   if (!state.ok()) return state.status();
   const Head& head = state->head;
   if (head.fleet().empty())
-    return absl::NotFoundError(directory + " holds no record: 'flintglade fleet init'");
+    return absl::NotFoundError(directory + ": no voter's files; create them with 'flintglade fleet init'");
   if (head.fleet() != settings_.protocol.membership.fleet)
-    return absl::FailedPreconditionError(directory + " is of the fleet " + head.fleet());
+    return absl::FailedPreconditionError(directory + ": belongs to fleet '" + head.fleet() + "', not to '" +
+                                         settings_.protocol.membership.fleet + "'");
   if (head.id() != settings_.voter_id)
-    return absl::FailedPreconditionError(directory + " is of the voter " + std::to_string(head.id()));
+    return absl::FailedPreconditionError(directory + ": belongs to voter " + std::to_string(head.id()) +
+                                         ", not to " + std::to_string(settings_.voter_id));
   return protocol_->start_voting(*std::move(state), *storage_);
 }
 
@@ -166,7 +170,7 @@
     udp::endpoint sender;
     error_code error;
     const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender, 0, error);
-    // An ICMP error for a datagram that was sent before: there may be more to read.
+    // An ICMP error in response to a datagram sent earlier; there may be more to read.
     if (error == asio::error::connection_refused) continue;
     if (error) break;
     protocol_->receive(now(), config::host_port(sender.address().to_string(), sender.port()),
@@ -190,7 +194,7 @@
 
 void CoordinationRuntime::deliver_notifications() {
   ProtocolExtension* extension = settings_.extension;
-  // Twice: what the extension does with the first ones can bring further ones.
+  // Two rounds, since the extension's reaction to the first notifications can cause further ones.
   for (int round = 0; round < 2; ++round) {
     for (const JobNotification& notification : protocol_->take_notifications()) {
       if (extension != nullptr) extension->receive(now(), *protocol_, notification);
@@ -203,7 +207,7 @@
 void CoordinationRuntime::send_datagrams() {
   for (const membership::Datagram& datagram : protocol_->take_datagrams()) {
     udp::endpoint receiver;
-    error_code ignored;  // a datagram that cannot be sent is one that was lost
+    error_code ignored;  // a datagram that cannot be sent counts as lost
     if (parse_endpoint(datagram.to, receiver))
       socket_.send_to(asio::buffer(datagram.bytes), receiver, 0, ignored);
   }
@@ -226,7 +230,7 @@
 void CoordinationRuntime::leave(std::function<void()> done) {
   asio::post(io_, [this, done = std::move(done)] {
     if (!protocol_) {
-      on_left_ = [] {};  // ends the attempts to open the socket
+      on_left_ = [] {};  // stops the attempts to open the socket
       return done();
     }
     protocol_->leave(now());
--- a/src/coordination/coordination_runtime.h
+++ b/src/coordination/coordination_runtime.h
@@ -1,8 +1,8 @@
-// Runs a CoordinationProtocol: a thread of its own with one UDP socket, a timer and, for a voter, its
-// storage, since a vote has to be on stable storage before it is given.
+// Runs a CoordinationProtocol on a thread of its own with a UDP socket, a timer and, for a voter, its
+// storage. The thread is separate because a vote must be on stable storage before it is sent, and the thread
+// that serves requests must never wait for that.
 //
-// The thread that serves requests never waits for this one. Public functions may be called from any thread;
-// callbacks run on this one's thread.
+// Public functions may be called from any thread; callbacks run on this object's thread.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -20,34 +20,34 @@
 
 class CoordinationRuntime {
  public:
-  // The clock of all of coordination, in microseconds. It also runs while the machine sleeps: a lease ends on
-  // all clocks.
+  // The clock of all coordination code, in microseconds. It also runs while the machine sleeps, since leases
+  // expire at the other routers meanwhile.
   static Micros now();
 
   struct Settings {
     CoordinationSettings protocol;
     config::HostPort listen;
-    std::uint64_t voter_id = 0;  // 0: this router does not vote
-    std::string directory;       // of a voter
+    std::uint64_t voter_id = 0;  // 0 if this router is not a voter
+    std::string directory;       // of the voter's files
     std::uint64_t seed = 0;
-    ProtocolExtension* extension = nullptr;  // borrowed; used on this object's thread alone
+    ProtocolExtension* extension = nullptr;  // not owned; used on this object's thread only
   };
   using NotificationCallback = std::function<void(const JobNotification&)>;
 
   CoordinationRuntime(Settings settings, NotificationCallback on_notification);
-  // Ends the thread. The other routers are told only if leave() came first.
+  // Ends the thread. The other routers are notified only if leave() was called before.
   ~CoordinationRuntime();
   CoordinationRuntime(const CoordinationRuntime&) = delete;
   CoordinationRuntime& operator=(const CoordinationRuntime&) = delete;
 
   void start();
-  // Releases this router's leases and tells the other routers, in half a second at the most; then calls
+  // Releases this router's leases and notifies the other routers, within half a second at most; then calls
   // `done`.
   void leave(std::function<void()> done);
-  // As CoordinationProtocol's functions of these names; dropped while the socket is not open yet.
+  // Calls the CoordinationProtocol function of the same name; ignored until the socket is open.
   void send_effect(Effect effect, std::string site, std::string address = "");
   void request_list(std::string job, std::uint32_t revision);
-  // Calls `action` on this object's thread; dropped while the socket is not open yet.
+  // Calls `action` on this object's thread; ignored until the socket is open.
   void with_protocol(std::function<void(Micros, CoordinationProtocol&)> action);
 
  private:
--- a/src/coordination/coordination_status.cpp
+++ b/src/coordination/coordination_status.cpp
@@ -1,4 +1,4 @@
-// What `flintglade fleet status` and its counters show of a router's part in the fleet.
+// The coordination status of a router, as `flintglade fleet status` shows it, with its counters.
 #include "coordination/coordination_protocol.h"
 
 namespace flintglade::coordination {
--- a/src/coordination/fencing_token.h
+++ b/src/coordination/fencing_token.h
@@ -1,7 +1,7 @@
-// Fencing tokens on the receiver's side: the highest token that this router has seen of each job.
+// Fencing tokens on the receiver's side: the highest token that this router has seen for each job.
 //
-// An effect with a lower token comes from a former owner that does not know yet that its lease has passed to
-// another router. Pure; one thread. Source: Kleppmann, 'How to do distributed locking' (2016).
+// An effect with a lower token comes from a former owner that does not know yet that its lease was granted to
+// another router. No I/O; for use on one thread. Source: Kleppmann, 'How to do distributed locking' (2016).
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 class FencingTokens {
  public:
-  // Jobs that are remembered; the lease table has far fewer (kMaxJobs).
+  // Limit on the jobs with a stored token; the lease table has far fewer (kMaxJobs in lease_state_machine.h).
   static constexpr std::size_t kMaxJobs = 1024;
 
-  // Whether an effect with this token may be applied. Remembers the token if so.
+  // Whether an effect with this token may be applied. If so, stores the token.
   bool admit(const std::string& job, std::uint64_t token) {
     const auto it = highest_.find(job);
     if (it == highest_.end()) {
@@ -31,12 +31,12 @@
     return true;
   }
 
-  // The highest token that was admitted; 0: none yet.
+  // The highest token that was admitted; 0 if there is none yet.
   std::uint64_t highest(const std::string& job) const {
     const auto it = highest_.find(job);
     return it == highest_.end() ? 0 : it->second;
   }
-  // How many effects were refused for a lower token.
+  // Number of effects that were rejected for a lower token.
   std::uint64_t rejected() const { return rejected_; }
 
  private:
--- a/src/coordination/lease_holder.cpp
+++ b/src/coordination/lease_holder.cpp
@@ -6,29 +6,29 @@
 namespace flintglade::coordination {
 namespace {
 
-// A release is repeated until the lease table says that the job is no longer this router's.
+// A release is repeated until the lease table no longer has this router as the owner.
 constexpr Micros kReleaseRetryDelay = 100 * core::kMilli;
 constexpr int kRenewalsPerLease = 4;
 
 }  // namespace
 
-void LeaseHolder::on_lease_table(const LeaseTable& table, std::uint64_t birth) {
-  birth_ = birth;
+void LeaseHolder::on_lease_table(const LeaseTable& table, std::uint64_t start_time) {
+  start_time_ = start_time;
   std::map<std::string, OwnedJob> owned;
   for (const Job& job : table.jobs()) {
-    if (job.owner() != name_ || job.birth() != birth) continue;
+    if (job.owner() != name_ || job.birth() != start_time) continue;
     const auto it = owned_.find(job.name());
     const bool same_lease = it != owned_.end() && it->second.number == job.number();
     OwnedJob entry = same_lease ? it->second : OwnedJob{};
-    if (!same_lease) next_renewal_ = 0;  // a new lease is valid from its first renewal on: at once
+    if (!same_lease) next_renewal_ = 0;  // renew at once: a new lease is valid only from its first renewal on
     entry.number = job.number();
-    entry.is_wanted_elsewhere = !job.wanted().empty() && job.wanted() != name_;
+    entry.is_moving_away = !job.wanted().empty() && job.wanted() != name_;
     owned[job.name()] = entry;
   }
   for (const auto& [job, entry] : owned_) {
     const auto it = owned.find(job);
     if (entry.is_running && (it == owned.end() || it->second.number != entry.number))
-      ended_.push_back({job, entry.number, false, "the record says so"});
+      ended_.push_back({job, entry.number, false, "the lease table has a new owner or number"});
   }
   owned_ = std::move(owned);
 }
@@ -37,10 +37,10 @@
   if (now < next_renewal_ || owned_.empty()) return std::nullopt;
   Renew out;
   out.set_owner(name_);
-  out.set_birth(birth_);
+  out.set_birth(start_time_);
   for (const auto& [job, entry] : owned_) {
-    // A release that was sent may arrive at any time, so this number is never renewed again.
-    if (entry.is_wanted_elsewhere || is_releasing_all_ || entry.release_sent_at >= 0) continue;
+    // A release that was sent may arrive at any later time, so a lease with a sent release is not renewed.
+    if (entry.is_moving_away || is_releasing_all_ || entry.release_sent_at >= 0) continue;
     HeldLease* held = out.add_held();
     held->set_job(job);
     held->set_number(entry.number);
@@ -64,14 +64,14 @@
   std::vector<Release> out;
   for (auto& [job, entry] : owned_) {
     const bool was_sent = entry.release_sent_at >= 0;
-    if (!was_sent && !entry.is_wanted_elsewhere && !is_releasing_all_) continue;
+    if (!was_sent && !entry.is_moving_away && !is_releasing_all_) continue;
     if (was_sent && now < entry.release_sent_at + kReleaseRetryDelay) continue;
     if (entry.is_running) {
       entry.is_running = false;
       ended_.push_back(
-          {job, entry.number, false, is_releasing_all_ ? "this router leaves" : "wanted elsewhere"});
+          {job, entry.number, false, is_releasing_all_ ? "this router shuts down" : "moved by an operator"});
     }
-    entry.valid_until = 0;  // the lease ends here before the voters can grant it to another router
+    entry.valid_until = 0;  // ends the lease here before the voters can grant the job to another router
     entry.release_sent_at = now;
     Release release;
     release.set_job(job);
@@ -103,7 +103,7 @@
     const bool is_valid = now < entry.valid_until;
     if (is_valid == entry.is_running) continue;
     entry.is_running = is_valid;
-    out.push_back({job, entry.number, is_valid, is_valid ? "" : "the lease is not renewed"});
+    out.push_back({job, entry.number, is_valid, is_valid ? "" : "the lease expired without a renewal"});
   }
   return out;
 }
--- a/src/coordination/lease_manager.cpp
+++ b/src/coordination/lease_manager.cpp
@@ -8,19 +8,19 @@
 namespace flintglade::coordination {
 namespace {
 
-// A grant that has not been committed by then is proposed again.
+// A grant that is not committed within this time is proposed again.
 constexpr Micros kGrantRetryDelay = 500 * core::kMilli;
-// How often the leader compares the jobs' owners with the living routers.
+// How often the leader decides on grants if nothing else happens.
 constexpr Micros kDecisionPeriod = 200 * core::kMilli;
-// How long a grant may stay without a first renewal.
+// A grant without a first renewal within this time is granted to another router.
 constexpr Micros kUnclaimedGrantTimeout = 500 * core::kMilli;
-// For how long a router that was unresponsive gets a job only if there is no other.
+// For this time a router that was unresponsive gets a job only if no other router can.
 constexpr Micros kUnresponsivePenalty = 10 * core::kSecond;
 
-// FNV-1a, then mixed: names differ in their last letters only.
+// FNV-1a, followed by a mix of the bits, since names often differ in their last characters only.
 std::uint64_t rank_hash(std::string_view text) {
   std::uint64_t hash = 1469598103934665603ull;
-  for (const char letter : text) hash = (hash ^ static_cast<unsigned char>(letter)) * 1099511628211ull;
+  for (const char character : text) hash = (hash ^ static_cast<unsigned char>(character)) * 1099511628211ull;
   return policy::mix(hash);
 }
 
@@ -83,9 +83,9 @@
 }
 
 Micros LeaseManager::lease_end(const std::string& job) const {
-  const auto known = lease_ends_.find(job);
+  const auto recorded = lease_ends_.find(job);
   return std::max(leader_since_ + times_.duration + times_.clock_margin(),
-                  known == lease_ends_.end() ? 0 : known->second);
+                  recorded == lease_ends_.end() ? 0 : recorded->second);
 }
 
 bool LeaseManager::may_grant(Micros now, const JobSettings& settings, const Job* job) {
@@ -93,7 +93,7 @@
     next_timer_ = std::min(next_timer_, leader_since_ + times_.first_grant_delay);
     return false;
   }
-  // After a release nothing has to run out: its owner acts no more. Nor for a job that never had an owner.
+  // A job without an owner can be granted at once: it was released, or never had an owner.
   if (const Micros end = lease_end(settings.name); has_owner(job) && now < end) {
     next_timer_ = std::min(next_timer_, end);
     return false;
@@ -110,12 +110,13 @@
   return out;
 }
 
-// The router that the operator named, if it is alive and not the owner that was unresponsive; else by rank.
+// The router that the operator requested, if it is alive and not the owner that was unresponsive; otherwise
+// the router with the highest rank.
 const membership::Peer* LeaseManager::next_owner(Micros now, const JobSettings& settings, const Job* job,
                                                  const std::vector<membership::Peer>& living) const {
-  const membership::Peer* named =
+  const membership::Peer* requested =
       job == nullptr || job->wanted().empty() ? nullptr : find_alive(living, job->wanted());
-  if (named != nullptr && (!has_owner(job) || named->name != job->owner())) return named;
+  if (requested != nullptr && (!has_owner(job) || requested->name != job->owner())) return requested;
   const membership::Peer* responsive = choose_owner(settings, living, unresponsive_routers(now));
   return responsive != nullptr ? responsive : choose_owner(settings, living);
 }
@@ -129,7 +130,7 @@
   for (const JobSettings& settings : jobs_) {
     const Job* job = leases.find(settings.name);
     if (!may_grant(now, settings, job)) continue;
-    // Its owner may still seem alive: that a router is dead is known later than that its lease has run out.
+    // The owner may still count as alive, since a lease expires before its router is detected as dead.
     if (has_owner(job)) unresponsive_since_[job->owner()] = now;
     const membership::Peer* owner = next_owner(now, settings, job, living);
     if (owner == nullptr) continue;
--- a/src/coordination/lease_state_machine.cpp
+++ b/src/coordination/lease_state_machine.cpp
@@ -66,8 +66,8 @@
   job->set_number(table_.last_number());
   job->set_owner(grant.owner());
   job->set_birth(grant.birth());
-  // Also where the job went to a router that the operator did not name, as the named one is gone: with the
-  // wish still in the table the new owner would release the job at once.
+  // The operator's request is cleared even if the job was granted to another router, because the requested
+  // one is no longer alive: with the request still in the table the new owner would release the job at once.
   job->clear_wanted();
   return true;
 }
@@ -100,8 +100,8 @@
   return found;
 }
 
-// The sum of all draws of a window never passes its total: a draw by a former owner, of a window that is
-// over, or one that was applied already changes nothing, and the last draw gets what is left.
+// The sum of all draws of a window never exceeds its total. A draw by a former owner, of an earlier window,
+// or one that was already applied has no effect; a draw that exceeds the remaining amount gets only that.
 bool LeaseStateMachine::draw(const StockDraw& draw) {
   const Job* job = find(draw.job());
   if (job == nullptr || job->number() != draw.number() || draw.amount() <= 0 || draw.whole() <= 0)
--- a/src/coordination/pending_requests.h
+++ b/src/coordination/pending_requests.h
@@ -1,7 +1,7 @@
-// Requests to a voter that have not been answered yet.
+// Requests to voters that have not been answered yet.
 //
-// Pure; one thread; time is handed in. A request that is lost is forgotten after a while: what it asked for
-// is asked again by whoever still needs it (renewals and releases are repeated).
+// No I/O; for use on one thread; the caller passes in the time. A request that was lost is removed after a
+// while; its sender sends a new one if it is still needed (renewals and releases are repeated).
 #pragma once
 
 #include <cstddef>
@@ -23,12 +23,12 @@
 class PendingRequests {
  public:
   bool is_full() const;
-  // The number of the new request, which its reply will have.
+  // Returns the number of the new request; its reply has the same number.
   std::uint64_t add(Micros now, bool is_renewal);
-  // The request that this reply belongs to; it is pending no more. Nothing: none does.
+  // Removes and returns the request that the reply with this number belongs to; nullopt if none does.
   std::optional<PendingRequest> take(std::uint64_t number);
-  // Whether a request other than the newest one has waited for longer than `timeout`, but not for several
-  // times as long: an old one says nothing about the voter that is asked now.
+  // Whether a request other than the newest one has been pending for longer than `timeout`. Requests that are
+  // several times as old do not count, since they may have gone to a different voter.
   bool has_timed_out(Micros now, Micros timeout) const;
   void forget_old(Micros now);
 
--- a/src/coordination/raft_library_io.cpp
+++ b/src/coordination/raft_library_io.cpp
@@ -8,10 +8,10 @@
 namespace flintglade::coordination {
 namespace {
 
-// A message has to fit into one UDP datagram with its envelope.
+// A message with its envelope has to fit into one UDP datagram.
 constexpr std::size_t kMaxMessageBytes = 48u << 10;
 
-// The library's error, or 0; it frees the snapshot.
+// Returns an error code of the library, or 0. The library frees the snapshot.
 int make_raft_snapshot(const Snapshot& from, raft_snapshot*& out) {
   auto* snapshot = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
   snapshot->index = from.index();
@@ -57,7 +57,7 @@
   io_.close = close;
   io_.load = load;
   io_.start = start;
-  io_.bootstrap = refuse_configuration;  // a file begins with its configuration: RaftNode::initial_state
+  io_.bootstrap = refuse_configuration;  // a new file already has one: RaftNode::initial_state
   io_.recover = refuse_configuration;
   io_.set_term = set_term;
   io_.set_vote = set_vote;
@@ -130,26 +130,27 @@
 
 int RaftLibraryIo::send(raft_io* io, raft_io_send* request, const raft_message* message,
                         raft_io_send_cb callback) {
-  RaftLibraryIo& own = self(io);
-  const Raft encoded = encode_raft_message(*message, {own.state_.head.id(), own.address_});
-  if (encoded.ByteSizeLong() <= kMaxMessageBytes) own.send_(message->server_address, encoded);
+  RaftLibraryIo& instance = self(io);
+  const Raft encoded = encode_raft_message(*message, {instance.state_.head.id(), instance.address_});
+  if (encoded.ByteSizeLong() <= kMaxMessageBytes) instance.send_(message->server_address, encoded);
   // The library sends TimeoutNow, which transfers the leadership, without a callback.
-  if (callback != nullptr) own.callbacks_.emplace_back([request, callback] { callback(request, 0); });
+  if (callback != nullptr) instance.callbacks_.emplace_back([request, callback] { callback(request, 0); });
   return 0;
 }
 
 int RaftLibraryIo::append(raft_io* io, raft_io_append* request, const raft_entry entries[], unsigned count,
                           raft_io_append_cb callback) {
-  RaftLibraryIo& own = self(io);
+  RaftLibraryIo& instance = self(io);
   std::string bytes;
   for (unsigned i = 0; i < count; ++i) {
     Frame frame;
-    *frame.mutable_entry() = make_entry(own.state_.last_index() + 1, entries[i]);
-    own.state_.apply(frame);
+    *frame.mutable_entry() = make_entry(instance.state_.last_index() + 1, entries[i]);
+    instance.state_.apply(frame);
     bytes += encode_log_frame(frame);
   }
-  const int error = own.finish_write(own.halt_status_.ok() ? own.storage_.append(bytes) : own.halt_status_);
-  own.callbacks_.emplace_back([request, callback, error] { callback(request, error); });
+  const int error = instance.finish_write(instance.halt_status_.ok() ? instance.storage_.append(bytes)
+                                                                     : instance.halt_status_);
+  instance.callbacks_.emplace_back([request, callback, error] { callback(request, error); });
   return 0;
 }
 
@@ -161,8 +162,8 @@
 
 int RaftLibraryIo::put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
                                 const raft_snapshot* snapshot, raft_io_snapshot_put_cb callback) {
-  RaftLibraryIo& own = self(io);
-  PersistentState& state = own.state_;
+  RaftLibraryIo& instance = self(io);
+  PersistentState& state = instance.state_;
   const std::uint64_t index = snapshot->index;
   Frame frame;
   *frame.mutable_snapshot() = make_snapshot(*snapshot);
@@ -175,18 +176,18 @@
         std::max(state.first_index, index > trailing ? index - trailing + 1 : 1));
   }
   state.apply(frame);
-  const int error = own.finish_write(own.halt_status_.ok() ? own.storage_.rewrite(encode_raft_log(state))
-                                                           : own.halt_status_);
-  own.callbacks_.emplace_back([request, callback, error] { callback(request, error); });
+  const int error = instance.finish_write(
+      instance.halt_status_.ok() ? instance.storage_.rewrite(encode_raft_log(state)) : instance.halt_status_);
+  instance.callbacks_.emplace_back([request, callback, error] { callback(request, error); });
   return 0;
 }
 
 int RaftLibraryIo::get_snapshot(raft_io* io, raft_io_snapshot_get* request,
                                 raft_io_snapshot_get_cb callback) {
-  RaftLibraryIo& own = self(io);
-  own.callbacks_.emplace_back([&own, request, callback] {
+  RaftLibraryIo& instance = self(io);
+  instance.callbacks_.emplace_back([&instance, request, callback] {
     raft_snapshot* snapshot = nullptr;
-    const int error = make_raft_snapshot(own.state_.snapshot, snapshot);
+    const int error = make_raft_snapshot(instance.state_.snapshot, snapshot);
     callback(request, snapshot, error);
   });
   return 0;
@@ -194,8 +195,8 @@
 
 raft_time RaftLibraryIo::time(raft_io* io) { return static_cast<raft_time>(self(io).now_ / core::kMilli); }
 
-int RaftLibraryIo::random(raft_io* io, int least, int most) {
-  return std::uniform_int_distribution<int>(least, most)(self(io).random_);
+int RaftLibraryIo::random(raft_io* io, int min, int max) {
+  return std::uniform_int_distribution<int>(min, max)(self(io).random_);
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/raft_library_io.h
+++ b/src/coordination/raft_library_io.h
@@ -1,10 +1,10 @@
-// The I/O that C-Raft (Debian's libraft) asks for, with disk, network, clock and chance handed in.
+// The I/O interface of C-Raft (Debian's libraft), with disk, network, clock and random numbers injected.
 //
-// C-Raft calls a raft_io: a table of functions, most of which answer by a callback. Callbacks must not be
-// called from within the library, so they wait here until run_callbacks(). Storage answers at once. One
-// thread.
+// C-Raft calls a raft_io, a table of functions, most of which report their result by a callback. Callbacks
+// must not be called from within the library, so they are queued here until run_callbacks(). Storage calls
+// are synchronous. For use on one thread.
 //
-// A write that fails halts the voter until its process starts again: from then on every write is refused.
+// A write that fails halts the voter until its process restarts: from then on every write is refused.
 #pragma once
 
 extern "C" {
@@ -38,23 +38,23 @@
 
   // For raft_init().
   raft_io* library_handle() { return &io_; }
-  // The time that the library is told, until the next call.
+  // Sets the time that the library gets until the next call.
   void set_time(Micros now) { now_ = now; }
-  // Into the library: a tick of its clock; a message, whose allocations it takes.
+  // Pass a clock tick or a message to the library, which takes ownership of the message's allocations.
   void tick() { on_tick_(&io_); }
   void receive(raft_message& message) { on_receive_(&io_, &message); }
-  // Calls back what the library waits for, and what follows from it, until nothing waits.
+  // Runs the queued callbacks, including those that they add, until the queue is empty.
   void run_callbacks();
   bool has_callbacks() const { return !callbacks_.empty(); }
 
   const PersistentState& state() const { return state_; }
-  // Why the voter halted; OK while it has not.
+  // The reason for which the voter halted; OK while it has not.
   const absl::Status& halt_status() const { return halt_status_; }
 
  private:
   static RaftLibraryIo& self(raft_io* io) { return *static_cast<RaftLibraryIo*>(io->impl); }
 
-  // raft_io's functions.
+  // The functions of raft_io.
   static void close(raft_io* io, raft_io_close_cb callback);
   static int load(raft_io* io, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
                   raft_index* start_index, raft_entry* entries[], std::size_t* entry_count);
@@ -69,11 +69,11 @@
                           const raft_snapshot* snapshot, raft_io_snapshot_put_cb callback);
   static int get_snapshot(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb callback);
   static raft_time time(raft_io* io);
-  static int random(raft_io* io, int least, int most);
+  static int random(raft_io* io, int min, int max);
 
-  // Applies a frame to the state and writes it. The library's error, or 0.
+  // Applies a frame to the state and writes it. Returns an error code of the library, or 0.
   int write_frame(const Frame& frame);
-  // Keeps the first error of a write. The library's error, or 0.
+  // Stores the first error of a write. Returns an error code of the library, or 0.
   int finish_write(const absl::Status& status);
 
   std::string address_;
--- a/src/coordination/raft_log.cpp
+++ b/src/coordination/raft_log.cpp
@@ -9,7 +9,8 @@
 namespace flintglade::coordination {
 namespace {
 
-// Drops what a snapshot covers, except the entries that it keeps for followers that are slightly behind.
+// Drops the entries that a snapshot covers, except those that are kept for followers that are slightly
+// behind.
 void drop_entries_before(std::uint64_t first_kept, PersistentState& state) {
   while (!state.entries.empty() && state.first_index < first_kept) {
     state.entries.pop_front();
@@ -21,8 +22,8 @@
 // The frame at the start of some bytes.
 struct ParsedFrame {
   Frame frame;
-  std::size_t payload_bytes = 0;  // as its header says, also where the frame is not valid
-  bool complete = false;          // all bytes that its header announces are there
+  std::size_t payload_bytes = 0;  // according to its header, even if the frame is not valid
+  bool complete = false;          // the payload is not cut short
   bool valid = false;
 };
 
@@ -39,22 +40,23 @@
   return out;
 }
 
-// Only the last write can be torn. A length that reaches past the end of the file may be a damaged one, with
-// good frames behind it; but no write adds a frame larger than the limit.
+// Only the last write can be torn. A length beyond the end of the file may also be a damaged one with valid
+// frames after it; but at least a length above the limit is never written.
 bool is_torn_write(const ParsedFrame& parsed, std::size_t bytes_left) {
-  const bool more_behind = parsed.complete && bytes_left > kFrameHeaderBytes + parsed.payload_bytes;
-  return !more_behind && parsed.payload_bytes <= kMaxFramePayloadBytes;
+  const bool has_later_bytes = parsed.complete && bytes_left > kFrameHeaderBytes + parsed.payload_bytes;
+  return !has_later_bytes && parsed.payload_bytes <= kMaxFramePayloadBytes;
 }
 
-// Whether a valid frame may stand where it stands.
+// Whether a valid frame is allowed at its position.
 absl::Status check_frame(const Frame& frame, bool is_first, const PersistentState& state) {
-  if (is_first && !frame.has_head()) return absl::DataLossError("does not begin with its head");
+  if (is_first && !frame.has_head()) return absl::DataLossError("its first frame is not a head");
   if (frame.has_head() && frame.head().version() > kRaftLogVersion)
-    return absl::UnimplementedError("of version " + std::to_string(frame.head().version()) +
-                                    ", and this program knows " + std::to_string(kRaftLogVersion));
+    return absl::UnimplementedError("written in version " + std::to_string(frame.head().version()) +
+                                    " of the format; this program supports versions up to " +
+                                    std::to_string(kRaftLogVersion));
   if (frame.has_entry() && frame.entry().index() != state.last_index() + 1)
-    return absl::DataLossError("entry " + std::to_string(frame.entry().index()) + " does not follow " +
-                               std::to_string(state.last_index()));
+    return absl::DataLossError("entry " + std::to_string(frame.entry().index()) + " comes after entry " +
+                               std::to_string(state.last_index()) + ": not consecutive");
   return absl::OkStatus();
 }
 
@@ -105,13 +107,15 @@
 }
 
 absl::StatusOr<DecodedRaftLog> decode_raft_log(std::string_view bytes) {
-  if (bytes.size() > kMaxRaftLogBytes) return absl::ResourceExhaustedError("larger than any record's file");
+  if (bytes.size() > kMaxRaftLogBytes)
+    return absl::ResourceExhaustedError(std::to_string(bytes.size()) + " bytes, more than the limit of " +
+                                        std::to_string(kMaxRaftLogBytes));
   DecodedRaftLog out;
   for (std::size_t offset = 0; offset < bytes.size();) {
     const std::size_t bytes_left = bytes.size() - offset;
     const ParsedFrame parsed = parse_frame(bytes.substr(offset));
     if (!parsed.valid) {
-      if (offset == 0) return absl::DataLossError("not a voter's file, or its beginning is damaged");
+      if (offset == 0) return absl::DataLossError("not a voter's log file, or damaged at its beginning");
       if (!is_torn_write(parsed, bytes_left))
         return absl::DataLossError("damaged at byte " + std::to_string(offset) + " of " +
                                    std::to_string(bytes.size()));
--- a/src/coordination/raft_node.cpp
+++ b/src/coordination/raft_node.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr Micros kTickPeriod = 20 * core::kMilli;
-// The lease table is some kilobytes, so a snapshot is cheap, and the log stays short enough for one datagram.
+// The lease table is a few kilobytes, so snapshots are cheap, and frequent ones keep the log short enough for
+// one datagram.
 constexpr unsigned kEntriesPerSnapshot = 256;
 constexpr unsigned kEntriesKeptBySnapshot = 64;
 
@@ -47,7 +48,7 @@
   raft_set_heartbeat_timeout(&raft_, times_.heartbeat_ms);
   raft_set_snapshot_threshold(&raft_, kEntriesPerSnapshot);
   raft_set_snapshot_trailing(&raft_, kEntriesKeptBySnapshot);
-  raft_set_pre_vote(&raft_, true);  // a voter that was cut off does not unseat the leader at its return
+  raft_set_pre_vote(&raft_, true);  // a voter that reconnects does not depose the leader
   error = raft_start(&raft_);
   is_started_ = true;
   if (error != 0)
@@ -135,7 +136,7 @@
   proposal->request.data = proposal.get();
   const int error = raft_apply(&raft_, &proposal->request, &buffer, 1, on_proposal_done);
   if (error == 0) {
-    (void)proposal.release();  // on_proposal_done takes it
+    (void)proposal.release();  // owned by on_proposal_done now
   } else {
     raft_free(buffer.base);
     proposal->done(library_error(error), {});
@@ -200,7 +201,8 @@
 void RaftNode::receive(Micros now, const Raft& message) {
   if (is_halted() || !is_started_ || message.receiver() != id() || message.sender() == id()) return;
   set_time(now);
-  // Only from servers of the configuration; but a voter that has none yet takes messages from any.
+  // Accepts messages from servers of the configuration only; a voter without a configuration accepts any
+  // sender.
   std::string sender_address = address_of(message.sender());
   if (sender_address.empty()) {
     if (raft_.configuration.n > 0) return;
--- a/src/coordination/raft_node.h
+++ b/src/coordination/raft_node.h
@@ -1,9 +1,9 @@
 // One voter: C-Raft (Debian's libraft) over the lease state machine.
 //
-// Does no I/O of its own: bytes to keep go to a RaftStorage, messages to a function, time is handed in, so
-// that a whole group of voters can run in one test on one clock. One thread.
+// Does no I/O itself: persistent data goes to a RaftStorage, messages to a function, and the caller passes in
+// the time, so that a test can run a whole group of voters on one clock. For use on one thread.
 //
-// A write that fails halts the voter until its process starts again: it votes and answers no more.
+// A write that fails halts the voter until its process restarts: it neither votes nor answers any more.
 #pragma once
 
 extern "C" {
@@ -24,7 +24,7 @@
 
 namespace flintglade::coordination {
 
-// Raft's timeouts, in ms as the library takes them.
+// Raft's timeouts in ms, the library's unit.
 struct RaftTimes {
   unsigned election_ms = 1000, heartbeat_ms = 100;
 };
@@ -32,15 +32,16 @@
 class RaftNode {
  public:
   using SendFunction = RaftLibraryIo::SendFunction;
-  // Called for each command that this voter applies, with what it did.
+  // Called for each command that this voter applies, with its result.
   using OnApply = std::function<void(const Command&, const Applied&)>;
-  // The end of a proposal: OK once it is committed and applied. An error's message is one line for operators.
+  // The result of a proposal: OK once it is committed and applied. An error's message is one line for
+  // operators.
   using ProposalCallback = std::function<void(const absl::Status&, const Applied&)>;
 
-  // `state` is what `storage` holds, with a head. `storage` outlives the node.
+  // `state` is the content of `storage` and has a head. `storage` must outlive the node.
   RaftNode(std::string address, PersistentState state, RaftStorage& storage, RaftTimes times,
            std::uint64_t seed, SendFunction send, OnApply on_apply);
-  // Ends proposals that are under way, with an error.
+  // Ends pending proposals with an error.
   ~RaftNode();
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
@@ -51,22 +52,21 @@
   // When to call tick().
   Micros next_timer() const { return next_tick_; }
 
-  // On the leader only; `done` is called once it is committed and applied, or once it is known that it will
-  // not be.
+  // On the leader only. `done` is called once the command is committed and applied, or is known not to be.
   void propose(Micros now, const Command& command, ProposalCallback done);
-  // One at a time; a second one is refused. An added voter gets all entries before it votes.
+  // Only one change at a time; a second one is refused. An added voter gets all entries before it can vote.
   void change_voters(Micros now, const VoterChange& change, ProposalCallback done);
-  // Has another voter that has all entries lead, as soon as there is one. False: this voter does not lead, no
-  // other can, or a transfer is under way.
+  // Transfers the leadership to another voter as soon as one has all entries. Returns false if this voter is
+  // not the leader, no other voter can lead, or a transfer is already in progress.
   bool transfer_leadership(Micros now);
 
   bool is_leader() const;
   bool is_halted() const { return !io_.halt_status().ok(); }
-  // Empty while the voter has not halted.
+  // Empty unless the voter has halted.
   std::string halt_reason() const { return std::string(io_.halt_status().message()); }
   // "leader", "candidate", "follower" or "halted".
   std::string role() const;
-  // Empty: none is known.
+  // Empty if no leader is known.
   std::string leader_address() const;
   std::uint64_t id() const { return io_.state().head.id(); }
   std::uint64_t term() const { return raft_.current_term; }
@@ -75,12 +75,12 @@
   std::vector<Voter> voters() const;
   const LeaseStateMachine& lease_state_machine() const { return lease_state_machine_; }
 
-  // What a new file begins with: the fleet's voters, or none for a voter that is added to them later.
+  // The initial content of a new file: the fleet's voters, or none for a voter that is added to them later.
   static PersistentState initial_state(const std::string& fleet, std::uint64_t id,
                                        const std::vector<Voter>& voters);
 
  private:
-  // Requests live until the library calls back.
+  // Requests to the library, which must exist until it calls back.
   struct Proposal {
     struct raft_apply request;
     ProposalCallback done;
@@ -92,7 +92,7 @@
     std::uint64_t voter_id;
   };
 
-  // raft_fsm's functions.
+  // The functions of raft_fsm.
   static int apply_command(raft_fsm* fsm, const raft_buffer* buffer, void** result);
   static int save_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* buffer_count);
   static int restore_snapshot(raft_fsm* fsm, raft_buffer* buffer);
--- a/src/coordination/raft_storage.cpp
+++ b/src/coordination/raft_storage.cpp
@@ -14,10 +14,9 @@
 
 constexpr const char* kLogFile = "/record.log";
 constexpr const char* kLockFile = "/lock";
-constexpr const char* kDraftSuffix = ".new";  // of a file that is renamed over the log once it is on disk
+constexpr const char* kTemporarySuffix = ".new";  // of a file that replaces the log once it is on disk
 
-// The error of the system call that failed last. A write that took no bytes sets no errno, and is an error
-// too.
+// The error of the last system call. A write of zero bytes is also an error, although it sets no errno.
 absl::Status system_error(const std::string& path) {
   const int error = errno;
   const absl::StatusCode code = error == 0 ? absl::StatusCode::kUnknown : absl::ErrnoToStatusCode(error);
@@ -35,31 +34,32 @@
 }
 
 bool read_fully(int descriptor, std::string& bytes) {
-  for (std::size_t got = 0; got < bytes.size();) {
-    const ssize_t n = ::pread(descriptor, bytes.data() + got, bytes.size() - got, static_cast<off_t>(got));
+  for (std::size_t bytes_read = 0; bytes_read < bytes.size();) {
+    const ssize_t n = ::pread(descriptor, bytes.data() + bytes_read, bytes.size() - bytes_read,
+                              static_cast<off_t>(bytes_read));
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) return false;
-    got += static_cast<std::size_t>(n);
+    bytes_read += static_cast<std::size_t>(n);
   }
   return true;
 }
 
-// A name in a directory survives a crash only once the directory is written too.
+// A new name in a directory survives a crash only after the directory itself was synchronized.
 bool sync_directory(const std::string& path) {
   const FileDescriptor directory(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   return directory.is_open() && ::fsync(directory.get()) == 0;
 }
 
-absl::Status write_draft(const std::string& draft, const std::string& bytes) {
-  const FileDescriptor file(::open(draft.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-  if (!file.is_open()) return system_error(draft);
-  return write_and_sync(file.get(), bytes) ? absl::OkStatus() : system_error(draft);
+absl::Status write_new_file(const std::string& path, const std::string& bytes) {
+  const FileDescriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  if (!file.is_open()) return system_error(path);
+  return write_and_sync(file.get(), bytes) ? absl::OkStatus() : system_error(path);
 }
 
 absl::Status replace_log(const std::string& directory, const std::string& bytes) {
-  const std::string path = directory + kLogFile, draft = path + kDraftSuffix;
-  if (absl::Status status = write_draft(draft, bytes); !status.ok()) return status;
-  if (::rename(draft.c_str(), path.c_str()) != 0) return system_error(path);
+  const std::string path = directory + kLogFile, temporary_path = path + kTemporarySuffix;
+  if (absl::Status status = write_new_file(temporary_path, bytes); !status.ok()) return status;
+  if (::rename(temporary_path.c_str(), path.c_str()) != 0) return system_error(path);
   return sync_directory(directory) ? absl::OkStatus() : system_error(directory);
 }
 
@@ -81,10 +81,11 @@
   lock_.reset(::open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   if (!lock_.is_open()) return system_error(lock);
   if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-    return absl::UnavailableError(lock + ": another process has it");
+    return absl::UnavailableError(lock + ": locked by another process");
   const auto file_bytes = static_cast<std::size_t>(existing.st_size);
   if (file_bytes > kMaxRaftLogBytes)
-    return absl::ResourceExhaustedError(path + ": larger than any record's file");
+    return absl::ResourceExhaustedError(path + ": " + std::to_string(file_bytes) +
+                                        " bytes, more than the limit of " + std::to_string(kMaxRaftLogBytes));
   file_.reset(::open(path.c_str(), O_RDWR | O_APPEND | O_CLOEXEC));
   if (!file_.is_open()) return system_error(path);
   std::string bytes(file_bytes, '\0');
@@ -101,7 +102,8 @@
   if (::mkdir(directory.c_str(), 0700) != 0 && errno != EEXIST) return system_error(directory);
   const std::string path = directory + kLogFile;
   if (::access(path.c_str(), F_OK) == 0)
-    return absl::AlreadyExistsError(path + ": is there already; a voter's id is used up with its file");
+    return absl::AlreadyExistsError(path +
+                                    ": already exists; the files of a voter's id are created only once");
   return replace_log(directory, encode_raft_log(initial));
 }
 
--- a/src/coordination/raft_storage.h
+++ b/src/coordination/raft_storage.h
@@ -1,8 +1,8 @@
-// A voter's files on disk, in a directory of their own: record.log, and a lock that keeps a second process
-// away.
+// A voter's files on disk, in a directory of their own: record.log, and a lock file against use by a second
+// process.
 //
-// Every call waits for the disk: use it on a thread that may block. Errors are statuses whose one-line
-// message names the file; after a failed write the file must not be written again.
+// Every call blocks on the disk, so use it on a thread that may block. Errors are statuses whose one-line
+// message contains the file's name. After a failed write the file must not be written again.
 #pragma once
 
 #include <string>
@@ -13,18 +13,17 @@
 
 namespace flintglade::coordination {
 
-// What a voter's log is written to. Each call returns once the bytes are on stable storage, or with the
-// error.
+// Storage for a voter's log. Each call returns once the bytes are on stable storage, or with an error.
 class RaftStorage {
  public:
   virtual ~RaftStorage() = default;
-  // Adds bytes at the end.
+  // Appends bytes.
   virtual absl::Status append(const std::string& bytes) = 0;
-  // Replaces everything. A crash leaves either the old bytes or the new ones.
+  // Replaces the whole content atomically: after a crash it is either the old or the new one.
   virtual absl::Status rewrite(const std::string& bytes) = 0;
 };
 
-// Owns a file descriptor, and closes it.
+// Owns a file descriptor and closes it.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -35,23 +34,22 @@
 
   int get() const { return descriptor_; }
   bool is_open() const { return descriptor_ >= 0; }
-  // Closes the one that is open and takes this one; -1: none.
+  // Closes the current descriptor, if any, and takes ownership of this one; -1: none.
   void reset(int descriptor);
 
  private:
   int descriptor_ = -1;
 };
 
-// The storage of a voter that runs.
+// The storage of a running voter.
 class FileRaftStorage final : public RaftStorage {
  public:
   FileRaftStorage() = default;
 
-  // Takes the lock and reads what is there; a torn write at the end is cut off. A missing directory, or an
-  // empty one, gives a state without a head, and that is no error.
+  // Takes the lock and reads the log; a torn write at its end is cut off. A missing or empty directory is not
+  // an error and gives a state without a head.
   absl::StatusOr<PersistentState> open(const std::string& directory);
-  // Makes the directory, if need be, and its file. kAlreadyExists: a file that is there is never written
-  // over.
+  // Creates the directory, if necessary, and its file. An existing file is never overwritten: kAlreadyExists.
   static absl::Status create(const std::string& directory, const PersistentState& initial);
 
   absl::Status append(const std::string& bytes) override;
--- a/src/coordination/shared_endpoint_list.cpp
+++ b/src/coordination/shared_endpoint_list.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kMaxKeptLines = 256;
-// An effect has to fit into one UDP datagram. A longer line is not passed on: followers miss it, and fall
-// back to discovery.
+// An effect has to fit into one UDP datagram. A longer line is not sent; the followers lack it and fall back
+// to discovery.
 constexpr std::size_t kMaxEffectBytes = 48u << 10;
 constexpr Micros kRequestRetryDelay = 200 * core::kMilli;
 
@@ -90,7 +90,7 @@
 void SharedEndpointList::on_effect(const Effect& effect) {
   if (effect.source() != source_) return;
   if (state_ == State::reader) return;  // of a former reader whose lease has ended
-  reader_heard_at_ = clock_.now();
+  last_effect_at_ = clock_.now();
   apply_lines(effect);
   if (revision_ < effect.rev()) return request_missing_lines();
   behind_since_ = -1;
@@ -106,7 +106,7 @@
   }
 }
 
-// A datagram with a change was lost, or the change was too long for one.
+// A datagram with a change was lost, or the change was too long for a datagram.
 void SharedEndpointList::request_missing_lines() {
   const Micros now = clock_.now();
   if (behind_since_ < 0) behind_since_ = now;
@@ -119,13 +119,14 @@
   if (state_ != State::reader) return;
   Effect effect = make_heartbeat();
   std::size_t bytes = 0;
-  std::uint32_t reached = after;
+  std::uint32_t last_revision = after;
   for (const ListLine& line : kept_lines_) {
-    if (line.rev() <= reached || line.after() > reached || bytes + line.text().size() > kMaxEffectBytes)
+    if (line.rev() <= last_revision || line.after() > last_revision ||
+        bytes + line.text().size() > kMaxEffectBytes)
       continue;
     *effect.add_lines() = line;
     bytes += line.text().size();
-    reached = line.rev();
+    last_revision = line.rev();
   }
   ports_.send(std::move(effect), address);
 }
@@ -151,9 +152,9 @@
 Micros SharedEndpointList::next_timer() const {
   if (state_ == State::reader) return next_heartbeat_;
   if (state_ == State::alone) return core::kNever;
-  const Micros patience = settings_.reader_timeout + fallback_delay_;
-  const Micros reader_lost_at = reader_heard_at_ + patience;
-  return behind_since_ < 0 ? reader_lost_at : std::min(reader_lost_at, behind_since_ + patience);
+  const Micros timeout = settings_.reader_timeout + fallback_delay_;
+  const Micros reader_lost_at = last_effect_at_ + timeout;
+  return behind_since_ < 0 ? reader_lost_at : std::min(reader_lost_at, behind_since_ + timeout);
 }
 
 }  // namespace flintglade::coordination
--- a/src/coordination/shared_endpoint_list.h
+++ b/src/coordination/shared_endpoint_list.h
@@ -1,15 +1,16 @@
-// The endpoint list that one router of a site reads from discovery and passes on to the others.
+// The endpoint list that one router of a site reads from discovery and distributes to the site's other
+// routers.
 //
-// Decides which watch on discovery is open; does no I/O, time is handed in. Runs beside the core, on its
-// thread.
+// Decides when this router's watch on discovery is open. Does no I/O; the caller passes in the clock. Runs on
+// the core's thread.
 //
-//   alone      reads for itself, as a router without a fleet does
-//   following  its watch is closed: it applies what the reader passes on
-//   reader     reads, and passes on: this router has the lease on the job
+//   alone      its watch is open, as on a router without a fleet
+//   following  its watch is closed; it applies the changes that the reader sends
+//   reader     its watch is open, and it sends the changes to the others: it has the lease on the job
 //
-// A follower that gets nothing from the reader for `reader_timeout`, or misses a change for as long, reads
-// for itself again, after a random delay of up to `fallback_jitter`, so that a whole site does not ask
-// discovery at once.
+// A follower that receives nothing from the reader for `reader_timeout`, or lacks a change for that long,
+// opens its own watch again. It does so after a random delay of up to `fallback_jitter`, so that the routers
+// of a site do not all connect to discovery at once.
 #pragma once
 
 #include <cstdint>
@@ -31,44 +32,44 @@
   struct Settings {
     Micros reader_timeout = 2 * core::kSecond;
     Micros fallback_jitter = core::kSecond;
-    Micros heartbeat_period =
-        250 * core::kMilli;                   // how often the reader announces the revision that it holds
-    std::size_t max_kept_bytes = 256u << 10;  // of lines that are kept for routers that missed one
+    Micros heartbeat_period = 250 * core::kMilli;  // how often the reader sends the revision that it holds
+    std::size_t max_kept_bytes = 256u << 10;  // limit on the lines that are kept for routers that missed one
   };
-  // What this object does to the rest of the router.
+  // The outgoing calls of this object.
   struct Ports {
-    // Opens this router's own watch, which asks for the whole list, or closes it.
+    // Opens this router's own watch, which requests the whole list, or closes it.
     std::function<void(bool)> set_watch_open;
-    // Applies a line as if the watch had read it; false: it is no list.
+    // Applies a line in the same way as one that the watch has read. False: the line is not a valid list.
     std::function<bool(std::string_view)> apply_line;
-    // As the reader: to all routers of the site, or to the address of one that asked.
+    // Send an effect as the reader: to all routers of the site, or to the address of one that requested it.
     std::function<void(Effect)> publish;
     std::function<void(Effect, const std::string&)> send;
-    // Asks the reader for what came after this revision.
+    // Requests the lines after this revision from the reader.
     std::function<void(std::uint32_t)> request_lines;
-    // With the name of the new state.
+    // Called with the name of the new state.
     std::function<void(const char*)> on_state_change;
   };
   enum class State { alone, following, reader };
 
-  // `source`: the discovery service that the list comes from, as host:port.
+  // `source`: the discovery service that provides the list, as host:port.
   SharedEndpointList(core::Clock& clock, Settings settings, Ports ports, std::string source,
                      std::uint64_t seed);
 
-  // core::EndpointList: whether the core wants the list.
+  // core::EndpointList: whether the core needs the list.
   void subscribe(bool on) override;
 
-  // This router's own watch has read a line, which takes a list from revision `after` (0: any) to `revision`.
+  // This router's own watch has read a line, which changes a list from revision `after` (0: any) to
+  // `revision`.
   void on_watch_line(std::uint32_t after, std::uint32_t revision, std::string_view text);
-  // The revision of the list that is known at the start.
+  // Sets the revision of the list that is known at startup.
   void set_revision(std::uint32_t revision) { revision_ = revision; }
   // This router's lease on the job begins or ends.
   void set_reader(bool is_reader);
-  // The reader's lines or heartbeat, admitted by its fencing token.
+  // The reader's lines or heartbeat, already admitted by the fencing token.
   void on_effect(const Effect& effect);
-  // A router asks for what came after this revision.
+  // A router requests the lines after this revision.
   void on_list_request(std::uint32_t after, const std::string& address);
-  // The list comes from another discovery service from now on.
+  // Changes the discovery service that provides the list.
   void set_source(const std::string& source);
   void tick();
   // When to call tick().
@@ -82,7 +83,7 @@
   void keep_line(std::uint32_t after, std::uint32_t revision, std::string_view text);
   void apply_lines(const Effect& effect);
   void request_missing_lines();
-  // An effect with the source and revision that this router holds, without lines.
+  // An effect with this router's source and revision, without lines.
   Effect make_heartbeat() const;
 
   core::Clock& clock_;
@@ -95,8 +96,8 @@
   std::uint32_t revision_ = 0;
   std::deque<ListLine> kept_lines_;
   std::size_t kept_bytes_ = 0;
-  Micros reader_heard_at_ = 0;
-  Micros behind_since_ = -1;  // a line was missed; -1: none is
+  Micros last_effect_at_ = 0;  // when the last effect of the reader was received
+  Micros behind_since_ = -1;   // since when a line is missing; -1: none is
   Micros fallback_delay_ = 0;
   Micros next_heartbeat_ = core::kNever;
   Micros lines_requested_at_ = 0;
--- a/tests/coordination/audit_test.cpp
+++ b/tests/coordination/audit_test.cpp
@@ -1,5 +1,5 @@
-// `fleet audit`: the lines that it reads, of this version and of earlier ones, and the violations that it
-// finds.
+// `fleet audit`: the log lines that it parses, of this version and of earlier ones, and the violations that
+// it reports.
 #include "coordination/audit.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace flintglade::coordination {
 namespace {
 
-// The names of the events that the audit reads, as one version writes them.
+// The event names of one version.
 struct EventNames {
   const char* version;
   const char *granted, *acquired, *released, *effect_applied, *stale_token;
@@ -29,7 +29,7 @@
   Audit audit;
   audit.add_log("a", line(1, names.granted, "job=j number=1 to=a") +
                          line(1, names.acquired, "job=j number=1") +
-                         line(3, names.released, "job=j number=1 why=\"wanted elsewhere\""));
+                         line(3, names.released, "job=j number=1 why=\"moved by an operator\""));
   audit.add_log("b",
                 line(4, names.granted, "job=j number=2 to=b") + line(4, names.acquired, "job=j number=2") +
                     line(5, names.stale_token, "job=j number=1 seen=2 from=a") + line(6, "other", "x=1"));
@@ -39,13 +39,13 @@
   ASSERT_EQ(ownerships.size(), 2u);
   EXPECT_EQ(ownerships[0].router, "a");
   EXPECT_EQ(ownerships[0].to_ms - ownerships[0].from_ms, 2000);
-  EXPECT_EQ(ownerships[0].end_reason, "wanted elsewhere");
+  EXPECT_EQ(ownerships[0].end_reason, "moved by an operator");
   EXPECT_EQ(ownerships[1].router, "b");
   EXPECT_EQ(ownerships[1].number, 2u);
   EXPECT_EQ(ownerships[1].end_reason, "its log ends");
 }
 
-TEST_P(AuditOfVersion, FindsANumberThatTwoRoutersOwned) {
+TEST_P(AuditOfVersion, ReportsANumberThatTwoRoutersOwned) {
   const EventNames& names = GetParam();
   Audit audit;
   audit.add_log("a",
@@ -55,7 +55,7 @@
                                                           "j number 1 ran at b and was granted to a"}));
 }
 
-TEST_P(AuditOfVersion, FindsANumberThatWasGrantedTwice) {
+TEST_P(AuditOfVersion, ReportsANumberThatWasGrantedTwice) {
   const EventNames& names = GetParam();
   Audit audit;
   audit.add_log("a", line(1, names.granted, "job=j number=1 to=a"));
@@ -63,12 +63,12 @@
   EXPECT_EQ(audit.violations(), std::vector<std::string>{"j 1 was granted to a and, at b, to b"});
 }
 
-TEST_P(AuditOfVersion, FindsAnEffectThatWasAppliedAfterAHigherNumber) {
+TEST_P(AuditOfVersion, ReportsAnEffectThatWasAppliedAfterAHigherNumber) {
   const EventNames& names = GetParam();
   Audit audit;
   audit.add_log("c", line(1, names.effect_applied, "job=j number=2 from=b") +
                          line(2, names.effect_applied, "job=j number=1 from=a"));
-  EXPECT_EQ(audit.violations(), std::vector<std::string>{"c took an effect of j 1 after number 2"});
+  EXPECT_EQ(audit.violations(), std::vector<std::string>{"c applied an effect of j 1 after number 2"});
 }
 
 INSTANTIATE_TEST_SUITE_P(Versions, AuditOfVersion, ::testing::Values(kCurrentNames, kEarlierNames),
@@ -92,7 +92,7 @@
   EXPECT_EQ(audit.ownerships()[0].end_reason, "its process ended");
 }
 
-TEST(Audit, CountsLinesThatAreNone) {
+TEST(Audit, CountsLinesThatCannotBeParsed) {
   Audit audit;
   audit.add_log("a", "no line\n\n" + line(1, "lease_acquired", "job=j number=2") + "ts=now event=x\n");
   EXPECT_EQ(audit.unparsed_lines(), 2u);
@@ -109,10 +109,10 @@
   EXPECT_EQ(text->ms, json->ms);
   EXPECT_EQ(text->event, "e");
   EXPECT_EQ((*text)["why"], "a \"b\" c");
-  EXPECT_EQ((*text)["none"], "");
+  EXPECT_EQ((*text)["missing"], "");
 }
 
-TEST(ParseLogLine, RefusesALineThatIsNotComplete) {
+TEST(ParseLogLine, RefusesAnIncompleteLine) {
   EXPECT_FALSE(parse_log_line(R"(ts=2026-01-02T03:04:05.006Z event=e why="a)").has_value());
   EXPECT_FALSE(parse_log_line(R"({"ts":"2026-01-02T03:04:05.006Z","event":)").has_value());
   EXPECT_FALSE(parse_log_line("ts=2026-01-02T03:04:05.006Z why=e").has_value());
--- a/tests/coordination/fencing_token_test.cpp
+++ b/tests/coordination/fencing_token_test.cpp
@@ -1,4 +1,4 @@
-// Which effects a receiver admits.
+// Admission of effects by their fencing tokens.
 #include "coordination/fencing_token.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   EXPECT_EQ(tokens.rejected(), 1u);
 }
 
-TEST(FencingTokens, KeepsJobsApart) {
+TEST(FencingTokens, TracksEachJobSeparately) {
   FencingTokens tokens;
   EXPECT_TRUE(tokens.admit("j", 5));
   EXPECT_TRUE(tokens.admit("k", 1));
@@ -24,7 +24,7 @@
   EXPECT_EQ(tokens.highest("never seen"), 0u);
 }
 
-TEST(FencingTokens, RemembersABoundedNumberOfJobs) {
+TEST(FencingTokens, StoresTokensOfALimitedNumberOfJobs) {
   FencingTokens tokens;
   for (std::size_t i = 0; i < FencingTokens::kMaxJobs; ++i)
     ASSERT_TRUE(tokens.admit("job" + std::to_string(i), 1));
--- a/tests/coordination/framed_bytes_test.cpp
+++ b/tests/coordination/framed_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of a frame, which files of all versions share.
+// The encoding of a frame, which must not change, since all versions read each other's files.
 #include "coordination/framed_bytes.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(FramedBytes, WritesLengthAndChecksumInLittleEndian) {
-  // CRC-32 of "123456789" is 0xcbf43926, the check value of the polynomial's catalogue.
+  // The standard check value of CRC-32: the checksum of "123456789" is 0xcbf43926.
   EXPECT_EQ(encode_frame("123456789"), std::string("\x09\0\0\0\x26\x39\xf4\xcb", 8) + "123456789");
 }
 
@@ -18,7 +18,7 @@
   EXPECT_EQ(header->payload_crc32, crc32_of("some payload"));
 }
 
-TEST(FramedBytes, HasNoHeaderInFewerBytesThanOneTakes) {
+TEST(FramedBytes, ReadsNoHeaderFromTooFewBytes) {
   EXPECT_FALSE(read_frame_header(std::string(kFrameHeaderBytes - 1, 'x')).has_value());
 }
 
--- a/tests/coordination/lease_state_machine_test.cpp
+++ b/tests/coordination/lease_state_machine_test.cpp
@@ -1,4 +1,4 @@
-// What each command does to the lease table.
+// The effect of each command on the lease table.
 #include "coordination/lease_state_machine.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
   EXPECT_EQ(machine.find("j")->owner(), "");
 }
 
-TEST(LeaseStateMachine, RemembersAMoveUntilTheNextGrant) {
+TEST(LeaseStateMachine, KeepsAMoveUntilTheNextGrant) {
   LeaseStateMachine machine;
   machine.apply(grant("a", 0));
   Command move;
@@ -63,7 +63,7 @@
   EXPECT_EQ(machine.find("j")->wanted(), "");
 }
 
-TEST(LeaseStateMachine, IsTheSameAfterASnapshot) {
+TEST(LeaseStateMachine, IsUnchangedAfterASnapshotIsLoaded) {
   LeaseStateMachine machine, copy;
   machine.apply(grant("a", 0));
   ASSERT_TRUE(copy.load(machine.save()));
--- a/tests/coordination/pending_requests_test.cpp
+++ b/tests/coordination/pending_requests_test.cpp
@@ -1,4 +1,4 @@
-// Requests to voters that wait for their replies.
+// Requests to voters that have not been answered yet.
 #include "coordination/pending_requests.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 constexpr Micros kTimeout = 250 * core::kMilli;
 
-TEST(PendingRequests, GivesEachReplyItsRequestOnce) {
+TEST(PendingRequests, ReturnsTheRequestOfEachReplyOnce) {
   PendingRequests requests;
   const std::uint64_t number = requests.add(1000, true);
   const std::optional<PendingRequest> request = requests.take(number);
@@ -18,7 +18,7 @@
   EXPECT_FALSE(requests.take(number).has_value());
 }
 
-TEST(PendingRequests, TimesOutForAWhileAfterTheTimeout) {
+TEST(PendingRequests, ReportsATimeoutForALimitedTime) {
   PendingRequests requests;
   requests.add(0, false);
   requests.add(kTimeout, false);
@@ -33,7 +33,7 @@
   EXPECT_FALSE(requests.has_timed_out(kTimeout + 1, kTimeout));
 }
 
-TEST(PendingRequests, IsFullUntilOldRequestsAreForgotten) {
+TEST(PendingRequests, IsFullUntilOldRequestsAreRemoved) {
   PendingRequests requests;
   while (!requests.is_full()) requests.add(0, false);
   requests.forget_old(5 * core::kSecond);
--- a/tests/coordination/raft_log_test.cpp
+++ b/tests/coordination/raft_log_test.cpp
@@ -1,4 +1,4 @@
-// The encoding of a voter's file: what is read back after a torn write, and what is refused as damaged.
+// The encoding of a voter's log file: recovery after a torn write, and detection of damage.
 #include "coordination/raft_log.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   return state;
 }
 
-// Where the last frame of the encoded sample begins.
+// The offset of the last frame of the encoded sample.
 std::size_t last_frame_offset(const PersistentState& state, const std::string& bytes) {
   Frame last;
   *last.mutable_entry() = state.entries.back();
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(RaftLog, NoticesADamagedByteBeforeTheLastFrame) {
+TEST(RaftLog, DetectsADamagedByteBeforeTheLastFrame) {
   const PersistentState state = sample_state();
   const std::string bytes = encode_raft_log(state);
   const std::size_t last_offset = last_frame_offset(state, bytes);
@@ -65,8 +65,8 @@
     std::string damaged = bytes;
     damaged[offset] = static_cast<char>(damaged[offset] ^ 0x10);
     const absl::StatusOr<DecodedRaftLog> log = decode_raft_log(damaged);
-    // A length that now reaches past the end cannot be told from a torn write; then no later frame counts
-    // either.
+    // A length that now exceeds the file cannot be distinguished from a torn write; then the later frames are
+    // cut off, too.
     ASSERT_TRUE(!log.ok() || log->torn_bytes > 0) << "byte " << offset;
   }
 }
@@ -79,11 +79,11 @@
   EXPECT_NE(status.message().find("version"), absl::string_view::npos);
 }
 
-TEST(RaftLog, RefusesAFileThatIsNoVotersFile) {
+TEST(RaftLog, RefusesAFileThatIsNotAVotersLog) {
   EXPECT_EQ(decode_raft_log(std::string(100, 'x')).status().code(), absl::StatusCode::kDataLoss);
 }
 
-TEST(RaftLog, ReadsNoBytesAsAStateWithoutAHead) {
+TEST(RaftLog, DecodesEmptyInputAsAStateWithoutAHead) {
   const absl::StatusOr<DecodedRaftLog> log = decode_raft_log("");
   ASSERT_TRUE(log.ok()) << log.status();
   EXPECT_TRUE(log->state.head.fleet().empty());
--- a/tests/coordination/raft_storage_test.cpp
+++ b/tests/coordination/raft_storage_test.cpp
@@ -1,4 +1,4 @@
-// A voter's files: who may open them, and what is never written over.
+// A voter's files: locking, creation without overwriting, and error messages.
 #include "coordination/raft_storage.h"
 
 #include <gtest/gtest.h>
@@ -33,21 +33,21 @@
   EXPECT_TRUE(state->head.fleet().empty());
 }
 
-TEST_F(FileRaftStorageTest, NeverWritesOverAVotersFile) {
+TEST_F(FileRaftStorageTest, NeverOverwritesAVotersFile) {
   ASSERT_TRUE(FileRaftStorage::create(directory_, initial_).ok());
   const absl::Status again = FileRaftStorage::create(directory_, initial_);
   EXPECT_EQ(again.code(), absl::StatusCode::kAlreadyExists);
   EXPECT_EQ(again.message(),
-            directory_ + "/record.log: is there already; a voter's id is used up with its file");
+            directory_ + "/record.log: already exists; the files of a voter's id are created only once");
 }
 
-TEST_F(FileRaftStorageTest, KeepsASecondProcessAway) {
+TEST_F(FileRaftStorageTest, RefusesASecondProcess) {
   ASSERT_TRUE(FileRaftStorage::create(directory_, initial_).ok());
   FileRaftStorage first, second;
   ASSERT_TRUE(first.open(directory_).ok());
   const absl::Status status = second.open(directory_).status();
   EXPECT_EQ(status.code(), absl::StatusCode::kUnavailable);
-  EXPECT_EQ(status.message(), directory_ + "/lock: another process has it");
+  EXPECT_EQ(status.message(), directory_ + "/lock: locked by another process");
 }
 
 TEST_F(FileRaftStorageTest, ReadsBackWhatWasAppendedAndRewritten) {
@@ -68,11 +68,11 @@
   EXPECT_EQ(state->head.id(), 2u);
 }
 
-TEST_F(FileRaftStorageTest, NamesTheFileThatIsDamaged) {
+TEST_F(FileRaftStorageTest, NamesTheDamagedFile) {
   std::ofstream(directory_ + "/record.log") << "no voter's file";
   FileRaftStorage storage;
   EXPECT_EQ(storage.open(directory_).status().message(),
-            directory_ + "/record.log: not a voter's file, or its beginning is damaged");
+            directory_ + "/record.log: not a voter's log file, or damaged at its beginning");
 }
 
 }  // namespace
--- a/tests/coordination/shared_endpoint_list_test.cpp
+++ b/tests/coordination/shared_endpoint_list_test.cpp
@@ -17,7 +17,7 @@
   Micros now() override { return time; }
 };
 
-// What one router's list did to the rest of the router.
+// Records the outgoing calls of one router's list.
 struct Recorder {
   bool is_watch_open = false;
   std::vector<std::string> applied;
@@ -38,7 +38,7 @@
   }
 };
 
-// A reader and a follower that hold revision 1, the follower told so by the reader.
+// A reader and a follower that both have revision 1; the reader's first heartbeat has reached the follower.
 class SharedEndpointListTest : public ::testing::Test {
  protected:
   SharedEndpointListTest() {
@@ -59,14 +59,14 @@
     clock_.time += settings_.heartbeat_period;
     follower_.on_effect(reader_side_.sent[3]);
   }
-  void answer_the_request() {
+  void answer_list_request() {
     reader_.on_list_request(2, "x");
     follower_.on_effect(reader_side_.sent.back());
   }
-  // Only effects of another discovery service come until the follower's patience ends.
+  // Until the follower's timeout only effects of another discovery service arrive.
   void lose_the_reader() {
     Effect other;
-    other.set_source("elsewhere");
+    other.set_source("other");
     other.set_rev(9);
     clock_.time += settings_.reader_timeout;
     follower_.on_effect(other);
@@ -81,7 +81,7 @@
   SharedEndpointList follower_{clock_, settings_, follower_side_.ports(), "d", 2};
 };
 
-TEST_F(SharedEndpointListTest, AFollowerClosesItsWatchOnceItHoldsWhatTheReaderHolds) {
+TEST_F(SharedEndpointListTest, AFollowerClosesItsWatchOnceItHasTheReadersRevision) {
   ASSERT_EQ(reader_side_.sent.size(), 1u);
   EXPECT_EQ(reader_side_.sent[0].rev(), 1u);
   EXPECT_EQ(follower_.state(), State::following);
@@ -89,27 +89,27 @@
   EXPECT_TRUE(reader_side_.is_watch_open);
 }
 
-TEST_F(SharedEndpointListTest, AFollowerRequestsALineThatItMissedBeforeItTakesLaterOnes) {
+TEST_F(SharedEndpointListTest, AFollowerRequestsAMissedLineBeforeItAppliesLaterOnes) {
   lose_a_line();
   EXPECT_EQ(follower_side_.applied, std::vector<std::string>{"two"});
   EXPECT_EQ(follower_side_.requests, std::vector<std::uint32_t>{2});
-  answer_the_request();
+  answer_list_request();
   ASSERT_EQ(follower_side_.applied.size(), 3u);
   EXPECT_EQ(follower_side_.applied.back(), "four");
   EXPECT_EQ(follower_.state(), State::following);
 }
 
-TEST_F(SharedEndpointListTest, AFollowerReadsForItselfWhenItsReaderIsSilent) {
+TEST_F(SharedEndpointListTest, AFollowerOpensItsWatchWhenItsReaderIsSilent) {
   lose_a_line();
-  answer_the_request();
+  answer_list_request();
   lose_the_reader();
   EXPECT_EQ(follower_.state(), State::alone);
   EXPECT_TRUE(follower_side_.is_watch_open);
 }
 
-TEST_F(SharedEndpointListTest, ARouterFollowsAgainOnlyOnceItHoldsWhatTheReaderHolds) {
+TEST_F(SharedEndpointListTest, ARouterFollowsAgainOnlyOnceItHasTheReadersRevision) {
   lose_a_line();
-  answer_the_request();
+  answer_list_request();
   lose_the_reader();
   Effect ahead = reader_side_.sent.back();
   ahead.clear_lines();
@@ -119,20 +119,20 @@
   EXPECT_TRUE(follower_side_.is_watch_open);
 }
 
-TEST_F(SharedEndpointListTest, AFormerReaderReadsForItself) {
+TEST_F(SharedEndpointListTest, AFormerReaderKeepsItsWatchOpen) {
   reader_.set_reader(false);
   EXPECT_EQ(reader_.state(), State::alone);
   EXPECT_TRUE(reader_side_.is_watch_open);
 }
 
-TEST_F(SharedEndpointListTest, ARouterThatReadsForItselfGoesOnAtAnotherSource) {
+TEST_F(SharedEndpointListTest, ARouterWithAnOpenWatchKeepsItOpenAtAnotherSource) {
   lose_the_reader();
-  follower_.set_source("elsewhere");
+  follower_.set_source("other");
   EXPECT_TRUE(follower_side_.is_watch_open);
 }
 
 TEST_F(SharedEndpointListTest, AFollowerOpensItsWatchAtAnotherSource) {
-  follower_.set_source("elsewhere");
+  follower_.set_source("other");
   EXPECT_EQ(follower_.state(), State::alone);
   EXPECT_TRUE(follower_side_.is_watch_open);
 }
--- a/tests/coordination/simulated_fleet_test.cpp
+++ b/tests/coordination/simulated_fleet_test.cpp
@@ -1,7 +1,7 @@
 // Whole fleets on a simulated network and clock (fleet/sim.h): the rules of leases under faults.
 //
-//   fleet_machines_test [RUNS [SEED]]: the property over random faults runs that often (else as RC_PARAMS
-//   says)
+//   fleet_machines_test [RUNS [SEED]]: the number of random runs of the property test (default: from
+//   RC_PARAMS)
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -18,10 +18,10 @@
 namespace {
 
 rc::Gen<Fault> any_fault() {
-  const auto number = [](int least, int most) { return rc::gen::inRange<unsigned>(least, most); };
+  const auto number = [](int min, int end) { return rc::gen::inRange<unsigned>(min, end); };
   return rc::gen::build<Fault>(
       rc::gen::set(&Fault::kind, rc::gen::map(number(0, static_cast<int>(Fault::Kind::kKinds)),
-                                              [](unsigned k) { return static_cast<Fault::Kind>(k); })),
+                                              [](unsigned kind) { return static_cast<Fault::Kind>(kind); })),
       rc::gen::set(&Fault::who, number(0, 7)), rc::gen::set(&Fault::whom, number(0, 7)),
       rc::gen::set(&Fault::at, number(1500, 18000)), rc::gen::set(&Fault::length, number(50, 10000)));
 }
@@ -35,26 +35,26 @@
   return text;
 }
 
-// Every router from `first_router` on has faults of these kinds, three times in a run, in worlds of many
+// Faults that every router from `first_router` on has three times in a run; one run for each of `seeds`
 // seeds.
-struct PlantedFaults {
+struct InjectedFaults {
   std::vector<Fault::Kind> kinds;
-  unsigned length_ms = 0;
+  unsigned length_ms = 0;  // duration of each fault
   unsigned first_router = 0;
   std::uint64_t seeds = 40;
 };
 
-// Whether a run broke a rule.
-bool breaks_a_rule(const World& base, const PlantedFaults& planted) {
-  for (std::uint64_t seed = 1; seed <= planted.seeds; ++seed) {
+// Whether any run violates a rule.
+bool breaks_a_rule(const World& base, const InjectedFaults& injected) {
+  for (std::uint64_t seed = 1; seed <= injected.seeds; ++seed) {
     World world = base;
     world.seed = seed;
     std::vector<Fault> faults;
-    for (unsigned who = planted.first_router; who < 7; ++who) {
+    for (unsigned router = injected.first_router; router < 7; ++router) {
       for (unsigned round = 0; round < 3; ++round) {
-        const unsigned at = 3000 + 400 * who + 4500 * round + static_cast<unsigned>(seed) * 13;
-        for (const Fault::Kind kind : planted.kinds)
-          faults.push_back({kind, who, who, at, planted.length_ms});
+        const unsigned at = 3000 + 400 * router + 4500 * round + static_cast<unsigned>(seed) * 13;
+        for (const Fault::Kind kind : injected.kinds)
+          faults.push_back({kind, router, router, at, injected.length_ms});
       }
     }
     if (!play(world, faults).broken.empty()) return true;
@@ -62,7 +62,7 @@
   return false;
 }
 
-RC_GTEST_PROP(SimulatedFleet, HasOneOwnerAtATimeAndAllJobsOwnedSoonAfterAnyFaults, ()) {
+RC_GTEST_PROP(SimulatedFleet, HasOneOwnerAtATimeAndAnOwnerOfEachJobSoonAfterAnyFaults, ()) {
   const auto faults = *rc::gen::container<std::vector<Fault>>(any_fault());
   World world;
   world.seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -70,52 +70,54 @@
   if (!seen.broken.empty()) RC_FAIL(seen.broken + describe(world, faults));
 }
 
-// A check that cannot fail proves nothing: each rule finds the fault that breaks it.
-TEST(SimulatedFleet, SoundFleetsStandThePlantedFaults) {
+// Verifies the checks themselves: a correct fleet passes with the faults that the tests below inject, and
+// each rule detects a fleet that violates it.
+TEST(SimulatedFleet, CorrectFleetsPassWithTheInjectedFaults) {
   EXPECT_FALSE(breaks_a_rule({}, {{Fault::Kind::cut_from}, 4000, 0, 3}));
   EXPECT_FALSE(breaks_a_rule({}, {{Fault::Kind::stuck}, 4000, 3, 3}));
 }
 
-TEST(SimulatedFleet, FindsVotersThatGrantBeforeTheLeaseIsOver) {
+TEST(SimulatedFleet, DetectsVotersThatGrantBeforeTheLeaseExpires) {
   World early;
   early.leaders.duration = 300 * core::kMilli;
   EXPECT_TRUE(breaks_a_rule(early, {{Fault::Kind::cut_from}, 4000}));
 }
 
-TEST(SimulatedFleet, FindsReceiversThatIgnoreFencingTokens) {
+TEST(SimulatedFleet, DetectsReceiversThatIgnoreFencingTokens) {
   World unfenced;
   unfenced.fenced = false;
   EXPECT_TRUE(breaks_a_rule(unfenced, {{Fault::Kind::stuck}, 4000, 3}));
 }
 
-// Voters whose last write is lost at a crash: entries that were committed can vanish.
-TEST(SimulatedFleet, FindsVotersThatForgetTheirLastWrites) {
+// If voters lose their last write in a crash, committed entries can disappear.
+TEST(SimulatedFleet, DetectsVotersThatLoseTheirLastWrites) {
   bool found = false;
   for (std::uint64_t seed = 1; seed <= 20 && !found; ++seed) {
     World world;
     world.seed = seed;
     world.disks_forget = true;
     std::vector<Fault> faults;
-    for (unsigned k = 0; k < 9; ++k) {
-      const unsigned at = 4000 + 3500 * (k / 3) + static_cast<unsigned>(seed) * 7;
-      faults.push_back({Fault::Kind::crash, k % 3, 0, at, 300});
-      faults.push_back({Fault::Kind::move, k, k, at - 900, 1});  // owners change before
+    for (unsigned i = 0; i < 9; ++i) {
+      const unsigned at = 4000 + 3500 * (i / 3) + static_cast<unsigned>(seed) * 7;
+      faults.push_back({Fault::Kind::crash, i % 3, 0, at, 300});
+      faults.push_back({Fault::Kind::move, i, i, at - 900, 1});  // owners change shortly before
     }
     found = !play(world, faults).broken.empty();
   }
-  EXPECT_TRUE(found) << "a voter that forgets its last writes was not noticed";
+  EXPECT_TRUE(found) << "no run detected that the voters lose their last writes";
 }
 
-TEST(SimulatedFleet, AnOwnerThatCrashesIsFollowedSoon) {
+TEST(SimulatedFleet, JobsHaveNewOwnersSoonAfterTheirOwnersCrash) {
   double worst_ms = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     World world;
     world.seed = seed;
     std::vector<Fault> faults;
-    for (unsigned who = 0; who < 7; ++who)
-      faults.push_back({Fault::Kind::crash, who, 0, 4000 + 2000 * who, 60000});
+    for (unsigned router = 0; router < 7; ++router)
+      faults.push_back({Fault::Kind::crash, router, 0, 4000 + 2000 * router, 60000});
     faults.resize(3 + seed % 2);
-    faults.erase(faults.begin(), faults.begin() + 2);  // a voter and some others; two voters stay
+    // One voter crashes, in some runs also another router; two voters remain.
+    faults.erase(faults.begin(), faults.begin() + 2);
     const Seen seen = play(world, faults);
     EXPECT_EQ(seen.broken, "");
     worst_ms = std::max(worst_ms, seen.gap_ms);
