--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -1,6 +1,6 @@
-// Routers of one fleet as processes, with a link between each pair that can be cut, delayed or lossy, and
-// processes that are stopped, killed and started again: owners_test PROGRAM CASE [N [SEED]]. Every case ends
-// with the audit that operators have, over the logs of all processes.
+// Routers of one fleet as processes, whose links can be cut, delayed or lossy, and which are stopped, killed
+// and restarted: owners_test PROGRAM CASE [N [SEED]]. Every case runs the checks of `fleet audit` over the
+// logs of all processes.
 #include <functional>
 #include <random>
 
@@ -12,10 +12,10 @@
 
 // ---- cases
 
-// Owners are killed, one after another, and come back as processes that own nothing.
+// Owners are killed one after another, and restart as processes that own no job.
 void killed(int rounds, std::uint64_t seed) {
   Fleet fleet(5, 3, seed);
-  std::vector<double> took;
+  std::vector<double> durations;
   int owner = fleet.wait_owner(0, 10000);
   CHECK(owner >= 0);
   for (int i = 0; i < rounds; ++i) {
@@ -23,26 +23,26 @@
     fleet.kill(static_cast<std::size_t>(owner));
     const auto from = now();
     const int next = fleet.wait_owner(before, 10000);
-    took.push_back(since(from));
+    durations.push_back(since(from));
     CHECK(next >= 0 && next != owner);
     fleet.start(static_cast<std::size_t>(owner));
     owner = next;
   }
   std::printf("owner killed, to the next one: p50 %.0f ms, most %.0f ms (lease %d ms)\n",
-              percentile(took, 0.5), percentile(took, 1.0), kLeaseMs);
+              percentile(durations, 0.5), percentile(durations, 1.0), kLeaseMs);
   fleet.sound();
 }
 
-// Owners are stopped for less and for more than their lease, and wake up late.
+// Owners are stopped for less and for more than the duration of their lease, and continue afterwards.
 void stopped(int rounds, std::uint64_t seed) {
   Fleet fleet(5, 3, seed);
   std::mt19937_64 random(seed);
   int owner = fleet.wait_owner(0, 10000);
   CHECK(owner >= 0);
-  std::size_t moved = 0;
+  std::size_t owner_changes = 0;
   for (int i = 0; i < rounds; ++i) {
     const std::uint64_t before = fleet.number();
-    // While it writes: the list changes in the moment of the stop.
+    // Stops the owner while it sends: the list changes just before.
     fleet.change(i % 2 == 0 ? "Ready" : "Terminating");
     pause(static_cast<int>(random() % 4));
     fleet.signal(static_cast<std::size_t>(owner), SIGSTOP);
@@ -56,78 +56,81 @@
     owner = fleet.wait_owner(0, 10000);
     if (owner < 0) fleet.print_logs();
     CHECK(owner >= 0);
-    moved += fleet.number() > before;
+    owner_changes += fleet.number() > before;
   }
-  const Audit a = fleet.audit();
-  std::printf("%d stops, %zu changes of owner, %llu effects of former owners refused\n", rounds, moved,
-              static_cast<unsigned long long>(a.stale_effects()));
+  const Audit audit = fleet.audit();
+  std::printf("%d stops, %zu changes of owner, %llu effects of former owners refused\n", rounds,
+              owner_changes, static_cast<unsigned long long>(audit.stale_effects()));
   fleet.sound();
 }
 
-// Cuts: the owner from the voters only, from the others only, one way; voters apart; the leader stopped.
+// Cuts: the owner from the voters only, from the non-voters only, in one direction only; the voters from each
+// other. Also a leader that is stopped.
 void cuts(int, std::uint64_t seed) {
   Fleet fleet(6, 3, seed);
   const Link cut{true, 0, 0, 0, 0};
   int owner = fleet.wait_owner(0, 10000);
   CHECK(owner >= 0);
-  const auto owned_again = [&](std::uint64_t above, const std::vector<std::size_t>& but) {
-    const int o = fleet.wait_owner(above, 10000, but);
-    if (o < 0) fleet.print_logs();
-    CHECK(o >= 0);
-    return o;
+  const auto wait_next_owner = [&](std::uint64_t above, const std::vector<std::size_t>& excluded) {
+    const int next = fleet.wait_owner(above, 10000, excluded);
+    if (next < 0) fleet.print_logs();
+    CHECK(next >= 0);
+    return next;
   };
-  // The job is to be where no voter is.
+  // The owner has to be a router that is not a voter.
   if (owner < 3) {
     CHECK(fleet.command({"fleet", "move", kJob, "n4", "--at", fleet.address(0)}) == 0);
     CHECK(within(5000, [&] { return fleet.owner() == 4; }));
     owner = 4;
   }
-  const std::size_t o = static_cast<std::size_t>(owner);
-  // It still reaches all that take its effects, but what it writes comes late: after the next owner's.
+  const std::size_t first = static_cast<std::size_t>(owner);
+  // The owner still reaches the receivers of its effects, but its datagrams are delayed until after those of
+  // the next owner.
   std::uint64_t number = fleet.number();
-  std::vector<std::size_t> hear;
+  std::vector<std::size_t> receivers;
   for (std::size_t i = 3; i < fleet.size(); ++i) {
-    if (i != o) hear.push_back(i);
+    if (i != first) receivers.push_back(i);
   }
-  fleet.links.between({o}, hear, {false, 0, 0, 2500, 0}, false);
-  fleet.links.between({o}, {0, 1, 2}, cut);
-  const int second = owned_again(number, {o});
+  fleet.links.between({first}, receivers, {false, 0, 0, 2500, 0}, false);
+  fleet.links.between({first}, {0, 1, 2}, cut);
+  const int second_owner = wait_next_owner(number, {first});
   CHECK(within(8000, [&] { return fleet.audit().stale_effects() > 0; }));
   fleet.links.all({});
   number = fleet.number();
-  // From those that take, not from the voters: the lease is kept, and they read for themselves.
-  const std::size_t s = static_cast<std::size_t>(second);
-  std::vector<std::size_t> takers;
-  for (const std::size_t i : others(fleet, s)) {
-    if (i >= 3) takers.push_back(i);
+  // The second owner is cut from the non-voters, not from the voters: it keeps its lease, and the non-voters
+  // open their own watches.
+  const std::size_t second = static_cast<std::size_t>(second_owner);
+  std::vector<std::size_t> cut_off;
+  for (const std::size_t i : others(fleet, second)) {
+    if (i >= 3) cut_off.push_back(i);
   }
-  fleet.links.between({s}, takers, cut);
-  CHECK(within(8000, [&] { return fleet.reads_as("alone") >= takers.size(); }));
+  fleet.links.between({second}, cut_off, cut);
+  CHECK(within(8000, [&] { return fleet.reads_as("alone") >= cut_off.size(); }));
   fleet.links.all({});
   fleet.all_follow();
-  // One way: it hears, and is not heard.
+  // Cut in one direction: the third owner receives datagrams, but its own are lost.
   int third = fleet.owner();
   CHECK(third >= 0);
   number = fleet.number();
   fleet.links.between({static_cast<std::size_t>(third)}, others(fleet, static_cast<std::size_t>(third)), cut,
                       false);
-  owned_again(number, {static_cast<std::size_t>(third)});
+  wait_next_owner(number, {static_cast<std::size_t>(third)});
   fleet.links.all({});
-  // The leader is stopped: another one leads, and whoever owns goes on.
+  // The leader is stopped: another voter becomes the leader, and the job still has an owner.
   CHECK(within(10000, [&] { return fleet.leader() >= 0; }));
   const int leader = fleet.leader();
   fleet.signal(static_cast<std::size_t>(leader), SIGSTOP);
   CHECK(within(10000, [&] { return fleet.leader() != leader && fleet.wait_owner(0, 10) >= 0; }));
   fleet.signal(static_cast<std::size_t>(leader), SIGCONT);
-  // The voters apart, 1 : 1 : 1. Nobody can own anything, and everybody reads for himself.
+  // All voters are cut from each other: no job has an owner, and every router opens its own watch.
   fleet.links.between({0}, {1, 2}, cut);
   fleet.links.between({1}, {2}, cut);
   CHECK(within(8000, [&] { return fleet.owner() < 0 && fleet.reads_as("alone") == fleet.size(); }));
   number = fleet.number();
   fleet.links.all({});
-  owned_again(0, {});
+  wait_next_owner(0, {});
   fleet.all_follow();
-  // A network that loses, doubles, delays and reorders all the while: rules hold, and a change reaches all.
+  // The network loses, duplicates, delays and reorders datagrams: the rules hold.
   fleet.links.all({false, 0.1, 0.1, 2, 20});
   fleet.change("Terminating");
   pause(2000);
@@ -135,22 +138,24 @@
   fleet.sound();
 }
 
-// Five voters, parted two to three: the three go on, the two and who is with them do for themselves.
+// Five voters, partitioned into two and three: the jobs continue on the side of the three, and the routers on
+// the side of the two open their own watches.
 void two_to_three(int, std::uint64_t seed) {
   Fleet fleet(7, 5, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
   fleet.all_follow();
-  for (const std::vector<std::size_t>& few :
+  for (const std::vector<std::size_t>& minority :
        {std::vector<std::size_t>{0, 1, 5}, std::vector<std::size_t>{3, 4, 6}}) {
-    std::vector<std::size_t> rest;
+    std::vector<std::size_t> majority;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-      if (std::find(few.begin(), few.end(), i) == few.end()) rest.push_back(i);
+      if (std::find(minority.begin(), minority.end(), i) == minority.end()) majority.push_back(i);
     }
-    fleet.links.between(few, rest, {true, 0, 0, 0, 0});
+    fleet.links.between(minority, majority, {true, 0, 0, 0, 0});
     CHECK(within(10000, [&] {
-      const int o = fleet.owner();
-      return o >= 0 && std::find(few.begin(), few.end(), static_cast<std::size_t>(o)) == few.end() &&
-             fleet.reads_as("alone") == few.size() && fleet.reads_as("following") == rest.size() - 1;
+      const int owner = fleet.owner();
+      return owner >= 0 &&
+             std::find(minority.begin(), minority.end(), static_cast<std::size_t>(owner)) == minority.end() &&
+             fleet.reads_as("alone") == minority.size() && fleet.reads_as("following") == majority.size() - 1;
     }));
     fleet.links.all({});
     fleet.all_follow();
@@ -158,11 +163,11 @@
   fleet.sound();
 }
 
-// The leader is told to end: another one leads at once, and jobs of others go on without a gap.
+// The leader shuts down: it transfers the leadership, so that another voter leads at once.
 void leader_leaves(int rounds, std::uint64_t seed) {
   Fleet fleet(6, 3, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
-  std::vector<double> took;
+  std::vector<double> durations;
   for (int i = 0; i < rounds; ++i) {
     CHECK(within(10000, [&] { return fleet.leader() >= 0; }));
     const auto leader = static_cast<std::size_t>(fleet.leader());
@@ -170,11 +175,11 @@
     fleet.signal(leader, SIGTERM);
     CHECK(within(5000,
                  [&] { return fleet.leader() >= 0 && static_cast<std::size_t>(fleet.leader()) != leader; }));
-    took.push_back(since(from));
-    const bool handed = within(
+    durations.push_back(since(from));
+    const bool transferred = within(
         500, [&] { return fleet.log(leader).find("event=leadership_transferred") != std::string::npos; });
-    if (!handed) fleet.print_logs();
-    CHECK(handed);
+    if (!transferred) fleet.print_logs();
+    CHECK(transferred);
     pause(600);
     fleet.kill(leader);
     fleet.start(leader);
@@ -182,19 +187,20 @@
     fleet.all_follow();
   }
   std::printf("the leader ends, to the next one: p50 %.0f ms, most %.0f ms (elections after 300 ms)\n",
-              percentile(took, 0.5), percentile(took, 1.0));
+              percentile(durations, 0.5), percentile(durations, 1.0));
   fleet.sound();
 }
 
-// All are killed at once and come back; a majority of the disks is lost, and the fleet needs a person.
+// All routers are killed at once and restart; then disks are lost, finally those of a majority of the voters,
+// from which the fleet cannot recover by itself.
 void all_at_once(int, std::uint64_t seed) {
   Fleet fleet(5, 3, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
   const std::uint64_t before = fleet.number();
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet.kill(i);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet.start(i);
-  CHECK(fleet.wait_owner(before, 10000) >= 0);  // under a number that nobody had
-  // A disk that is gone: its router does not vote, and two are enough.
+  CHECK(fleet.wait_owner(before, 10000) >= 0);  // under a new number
+  // A disk is lost: its router does not vote, and two voters are enough.
   const std::uint64_t number = fleet.number();
   fleet.kill(0);
   std::filesystem::remove_all(fleet.disk(0));
@@ -202,33 +208,34 @@
   CHECK(within(3000, [&] { return fleet.log(0).find("event=raft_node_start_failed") != std::string::npos; }));
   const int owner = fleet.wait_owner(0, 10000);
   CHECK(owner >= 0);
-  // Its id is used up: it comes back as another voter, and the old one is let go.
+  // Its voter id cannot be used again: the router joins under a new id, and the old voter is removed.
   CHECK(fleet.command({"fleet", "voters", fleet.address(1), "--remove", "1"}) == 0);
   std::string text = contents(fleet.file(0));
-  const std::size_t at = text.find("id: 1 ");
-  CHECK(at != std::string::npos);
-  text.replace(at, 5, "id: 9");
+  const std::size_t id_position = text.find("id: 1 ");
+  CHECK(id_position != std::string::npos);
+  text.replace(id_position, 5, "id: 9");
   std::ofstream(fleet.file(0)) << text;
   CHECK(fleet.command({"fleet", "init", fleet.file(0), "--router", "n0", "--join"}) == 0);
-  CHECK(fleet.command({"fleet", "init", fleet.file(0), "--router", "n0", "--join"}) == 1);  // never twice
+  // A second initialization is refused.
+  CHECK(fleet.command({"fleet", "init", fleet.file(0), "--router", "n0", "--join"}) == 1);
   fleet.kill(0);
   fleet.start(0);
   CHECK(fleet.command({"fleet", "voters", fleet.address(1), "--add", "9=" + fleet.links.at(0)}) == 0);
-  // It votes now: of the three, one of the old ones may go.
-  const std::size_t gone = fleet.leader() == 1 ? 1 : 2;
-  fleet.kill(gone);
+  // It votes now, so one of the two old voters can fail.
+  const std::size_t failed = fleet.leader() == 1 ? 1 : 2;
+  fleet.kill(failed);
   CHECK(fleet.wait_owner(fleet.number() - 1, 10000) >= 0);
   CHECK(fleet.number() >= number);
   fleet.sound();
-  // Damaged, of another fleet, and read by nobody else: stated, and the router serves on.
-  const std::string record = fleet.disk(gone) + "/record.log";
+  // A damaged log file: the router reports it and runs without voting.
+  const std::string record = fleet.disk(failed) + "/record.log";
   std::string bytes = contents(record);
   bytes[bytes.size() / 2] = static_cast<char>(bytes[bytes.size() / 2] ^ 1);
   std::ofstream(record, std::ios::binary) << bytes;
-  fleet.start(gone);
+  fleet.start(failed);
   CHECK(within(3000,
-               [&] { return fleet.log(gone).find("event=raft_node_start_failed") != std::string::npos; }));
-  // The majority's disks are lost: no job has an owner any more, and all read for themselves.
+               [&] { return fleet.log(failed).find("event=raft_node_start_failed") != std::string::npos; }));
+  // The disks of a majority are lost: no job has an owner any more, and every router opens its own watch.
   for (const std::size_t i : {std::size_t{1}, std::size_t{2}}) {
     if (fleet.runs(i)) fleet.kill(i);
     std::filesystem::remove_all(fleet.disk(i));
@@ -238,7 +245,7 @@
   CHECK(within(8000, [&] { return fleet.log(4).find("event=leader_unknown") != std::string::npos; }));
 }
 
-// Jobs are moved by hand while the list changes: short gaps, and nobody misses a change.
+// Jobs are moved by an operator while the list changes: the time without an owner is short.
 void moved(int rounds, std::uint64_t seed) {
   Fleet fleet(5, 3, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
@@ -267,7 +274,7 @@
   fleet.sound();
 }
 
-// Many, of which a part is killed each second, and comes back.
+// Many routers, some of which are killed each second and restart.
 void many(int routers, std::uint64_t seed) {
   Fleet fleet(static_cast<std::size_t>(routers), 5, seed);
   std::mt19937_64 random(seed);
@@ -275,22 +282,22 @@
   const int seconds = 10;
   std::vector<std::size_t> down;
   const auto from = now();
-  const std::uint64_t passed = fleet.links.passed();
+  const std::uint64_t forwarded_before = fleet.links.forwarded_datagrams();
   for (int second = 0; second < seconds; ++second) {
     for (const std::size_t i : std::exchange(down, {})) fleet.start(i);
-    for (int k = 0; k < std::max(1, routers / 10); ++k) {
+    for (int attempt = 0; attempt < std::max(1, routers / 10); ++attempt) {
       const std::size_t i = random() % fleet.size();
-      // Two of the five voters at the most.
-      const auto voters =
-          static_cast<int>(std::count_if(down.begin(), down.end(), [](auto d) { return d < 5; }));
-      if (!fleet.runs(i) || (i < 5 && voters >= 2)) continue;
+      // At most two of the five voters are down at once.
+      const auto voters_down =
+          static_cast<int>(std::count_if(down.begin(), down.end(), [](auto router) { return router < 5; }));
+      if (!fleet.runs(i) || (i < 5 && voters_down >= 2)) continue;
       fleet.kill(i);
       down.push_back(i);
     }
     pause(std::max(0, 1000 * (second + 1) - static_cast<int>(since(from))));
   }
   for (const std::size_t i : down) fleet.start(i);
-  const double took = since(from) / 1e3;
+  const double elapsed_s = since(from) / 1e3;
   if (fleet.wait_owner(0, 15000) < 0) {
     fleet.print_logs();
     CHECK(!"no owner at the end");
@@ -303,31 +310,32 @@
   std::printf(
       "%zu routers, %zu owners, longest time without one %.0f ms, %.0f datagrams a second and router\n",
       fleet.size(), owners.size(), longest,
-      static_cast<double>(fleet.links.passed() - passed) / took / static_cast<double>(fleet.size()));
+      static_cast<double>(fleet.links.forwarded_datagrams() - forwarded_before) / elapsed_s /
+          static_cast<double>(fleet.size()));
   fleet.sound();
 }
 
-// Two processes of one name: the later one has it, the earlier one goes on serving without its fleet.
+// Two processes of one name: the later one replaces the earlier one, which continues without the fleet.
 void one_name(int, std::uint64_t seed) {
   Fleet fleet(4, 3, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
   // A second process of the name n3, at another address.
-  const std::string twin_file = fleet.folder + "/twin.textproto";
+  const std::string second_file = fleet.folder + "/twin.textproto";
   std::string text = contents(fleet.file(3));
-  const std::size_t at = text.find(fleet.links.at(3));
-  CHECK(at != std::string::npos);
-  text.replace(at, fleet.links.at(3).size(), fleet.links.at(4));
-  std::ofstream(twin_file) << text;
-  Process twin(Start{g_program,
-                     {"serve", "--operator", twin_file},
-                     {{"GW_CONFIG", fleet.folder + "/n3.json"}, {"TMPDIR", fleet.folder}},
-                     -1});
+  const std::size_t address_position = text.find(fleet.links.at(3));
+  CHECK(address_position != std::string::npos);
+  text.replace(address_position, fleet.links.at(3).size(), fleet.links.at(4));
+  std::ofstream(second_file) << text;
+  Process second(Start{g_program,
+                       {"serve", "--operator", second_file},
+                       {{"GW_CONFIG", fleet.folder + "/n3.json"}, {"TMPDIR", fleet.folder}},
+                       -1});
   unsigned short port = 0;
-  CHECK(within(5000, [&] { return (port = twin.port("wire=fleet at=127.0.0.1:")) != 0; }));
+  CHECK(within(5000, [&] { return (port = second.port("wire=fleet at=127.0.0.1:")) != 0; }));
   fleet.links.real(4, port);
   CHECK(within(10000,
                [&] { return fleet.log(3).find("event=displaced_by_newer_process") != std::string::npos; }));
-  CHECK(twin.log().find("event=displaced_by_newer_process") == std::string::npos);
+  CHECK(second.log().find("event=displaced_by_newer_process") == std::string::npos);
   fleet.sound();
 }
 
