--- a/src/coordination/coordination_protocol.cpp
+++ b/src/coordination/coordination_protocol.cpp
@@ -476,7 +476,7 @@
   notification.sender_address = sender_address;
   notification.shared_state = packet.share();
   notification.sender = packet.from();
-  notification.sender_birth = packet.birth();
+  notification.sender_start_time = packet.birth();
   notify(std::move(notification));
 }
 
--- a/src/coordination/coordination_protocol.h
+++ b/src/coordination/coordination_protocol.h
@@ -69,7 +69,7 @@
     effect,
     // A router requests the changes after this revision of the endpoint list (job, sender_address, revision).
     list_requested,
-    // A message about state that routers share (shared_state, sender, sender_birth, sender_address).
+    // A message about state that routers share (shared_state, sender, sender_start_time, sender_address).
     shared_state,
   };
   Kind kind = Kind::lease_acquired;
@@ -80,7 +80,7 @@
   std::uint32_t revision = 0;
   SharedStateMessage shared_state;
   std::string sender;
-  std::uint64_t sender_birth = 0;  // of its process: microseconds of Unix time
+  std::uint64_t sender_start_time = 0;  // of its process: microseconds of Unix time
 };
 
 class CoordinationProtocol {
--- a/src/shared/shared_state.cpp
+++ b/src/shared/shared_state.cpp
@@ -166,16 +166,16 @@
                                   const coordination::JobNotification& notification) {
   ++counters_.received;
   if (notification.sender.empty() || notification.sender.size() > kMaxNameBytes ||
-      notification.sender == self_.router || notification.sender_birth == 0) {
+      notification.sender == self_.router || notification.sender_start_time == 0) {
     return reject(protocol, notification.sender_address, "no name");
   }
   const SharedStateMessage& message = notification.shared_state;
   const Micros extra_delay =
-      fleet_clock_.on_packet(now, notification.sender, notification.sender_birth, message.sent_us());
+      fleet_clock_.on_packet(now, notification.sender, notification.sender_start_time, message.sent_us());
   fleet_clock_.on_unix_time(now, notification.sender, message.unix_us());
   switch (message.what_case()) {
     case SharedStateMessage::kAsk:
-      return receive_lease_request(now, protocol, notification.sender, notification.sender_birth,
+      return receive_lease_request(now, protocol, notification.sender, notification.sender_start_time,
                                    message.ask());
     case SharedStateMessage::kParcel:
       return ports_.on_lease(message.parcel());
