--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -107,13 +107,13 @@
     auto p = std::make_unique<Process>(s);
     unsigned short port = 0;
     CHECK(within(5000, [&] { return (port = p->port("wire=fleet at=127.0.0.1:")) != 0; }));
-    links.real(i, port);
+    links.set_listen_port(i, port);
     ports_[i] = port;
     routers_[i] = std::move(p);
   }
   void signal(std::size_t i, int which) { routers_[i]->signal(which); }
   void kill(std::size_t i) {
-    links.real(i, 0);
+    links.set_listen_port(i, 0);
     routers_[i]->signal(SIGKILL);
     int status = 0;
     CHECK(within(3000, [&] { return routers_[i]->ended(status); }));
--- a/tests/fleet/links.cpp
+++ b/tests/fleet/links.cpp
@@ -35,7 +35,7 @@
 std::string Links::at(std::size_t router) const {
   return "127.0.0.1:" + std::to_string(routers_[router]->socket.local_endpoint().port());
 }
-void Links::real(std::size_t router, unsigned short port) {
+void Links::set_listen_port(std::size_t router, unsigned short port) {
   const std::lock_guard lock(mutex_);
   routers_[router]->listen_port = port;
 }
--- a/tests/fleet/links.h
+++ b/tests/fleet/links.h
@@ -24,8 +24,9 @@
  public:
   Links(std::size_t routers, std::uint64_t seed);
   ~Links();
-  std::string at(std::size_t router) const;            // the address that it advertises
-  void real(std::size_t router, unsigned short port);  // sets the port on which it listens; 0: none
+  std::string at(std::size_t router) const;  // the address that it advertises
+  // The port on which the router itself listens; 0: none.
+  void set_listen_port(std::size_t router, unsigned short port);
   void set(std::size_t from, std::size_t to, const Link& link);
   // Sets all links between two groups, in both directions or from the first to the second only.
   void between(const std::vector<std::size_t>& first, const std::vector<std::size_t>& second,
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -332,7 +332,7 @@
                        -1});
   unsigned short port = 0;
   CHECK(within(5000, [&] { return (port = second.port("wire=fleet at=127.0.0.1:")) != 0; }));
-  fleet.links.real(4, port);
+  fleet.links.set_listen_port(4, port);
   CHECK(within(10000,
                [&] { return fleet.log(3).find("event=displaced_by_newer_process") != std::string::npos; }));
   CHECK(second.log().find("event=displaced_by_newer_process") == std::string::npos);
