--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -251,14 +251,14 @@
   }
   void write_file(std::size_t i) {
     std::ofstream out(file(i));
-    out << "fleet { name: \"test\" listen: \"127.0.0.1:0\" advertise: \"" << links.at(i) << "\" site: \""
-        << (shape_.sites > 1 ? "hall" + std::to_string(i % shape_.sites) : "hall") << "\"\n"
+    out << "fleet { name: \"test\" listen: \"127.0.0.1:0\" advertise: \"" << links.advertised_address(i)
+        << "\" site: \"" << (shape_.sites > 1 ? "hall" + std::to_string(i % shape_.sites) : "hall") << "\"\n"
         << "directory: \"" << disk(i) << "\" " << (shape_.sites > 1 ? "" : "list_readers: \"hall\"")
         << " period_s: 0.2 probe_timeout_s: 0.06 lease_s: " << kLeaseMs / 1000.0
         << " election_s: 0.3 list_silence_s: 0.6\n";
     for (std::size_t v = 0; v < voters_; ++v)
-      out << "seeds: \"" << links.at(v) << "\" voters { router: \"" << id(v) << "\" id: " << v + 1
-          << " at: \"" << links.at(v) << "\" }\n";
+      out << "seeds: \"" << links.advertised_address(v) << "\" voters { router: \"" << id(v)
+          << "\" id: " << v + 1 << " at: \"" << links.advertised_address(v) << "\" }\n";
     std::string extra = shape_.extra;
     if (const std::size_t at = extra.find("@"); at != std::string::npos)
       extra.replace(at, 1, folder + "/" + id(i));
--- a/tests/fleet/links.cpp
+++ b/tests/fleet/links.cpp
@@ -32,7 +32,7 @@
   thread_.join();
 }
 
-std::string Links::at(std::size_t router) const {
+std::string Links::advertised_address(std::size_t router) const {
   return "127.0.0.1:" + std::to_string(routers_[router]->socket.local_endpoint().port());
 }
 void Links::set_listen_port(std::size_t router, unsigned short port) {
--- a/tests/fleet/links.h
+++ b/tests/fleet/links.h
@@ -24,7 +24,7 @@
  public:
   Links(std::size_t routers, std::uint64_t seed);
   ~Links();
-  std::string at(std::size_t router) const;  // the address that it advertises
+  std::string advertised_address(std::size_t router) const;
   // The port on which the router itself listens; 0: none.
   void set_listen_port(std::size_t router, unsigned short port);
   void set(std::size_t from, std::size_t to, const Link& link);
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -220,7 +220,8 @@
   CHECK(fleet.command({"fleet", "init", fleet.file(0), "--router", "n0", "--join"}) == 1);
   fleet.kill(0);
   fleet.start(0);
-  CHECK(fleet.command({"fleet", "voters", fleet.address(1), "--add", "9=" + fleet.links.at(0)}) == 0);
+  CHECK(fleet.command(
+            {"fleet", "voters", fleet.address(1), "--add", "9=" + fleet.links.advertised_address(0)}) == 0);
   // It votes now, so one of the two old voters can fail.
   const std::size_t failed = fleet.leader() == 1 ? 1 : 2;
   fleet.kill(failed);
@@ -322,9 +323,9 @@
   // A second process of the name n3, at another address.
   const std::string second_file = fleet.folder + "/twin.textproto";
   std::string text = contents(fleet.file(3));
-  const std::size_t address_position = text.find(fleet.links.at(3));
+  const std::size_t address_position = text.find(fleet.links.advertised_address(3));
   CHECK(address_position != std::string::npos);
-  text.replace(address_position, fleet.links.at(3).size(), fleet.links.at(4));
+  text.replace(address_position, fleet.links.advertised_address(3).size(), fleet.links.advertised_address(4));
   std::ofstream(second_file) << text;
   Process second(Start{g_program,
                        {"serve", "--operator", second_file},
