--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -107,13 +107,13 @@
     auto p = std::make_unique<Process>(s);
     unsigned short port = 0;
     CHECK(within(5000, [&] { return (port = p->port("wire=fleet at=127.0.0.1:")) != 0; }));
-    links.real(i, port);
+    links.set_listen_port(i, port);
     ports_[i] = port;
     routers_[i] = std::move(p);
   }
   void signal(std::size_t i, int which) { routers_[i]->signal(which); }
   void kill(std::size_t i) {
-    links.real(i, 0);
+    links.set_listen_port(i, 0);
     routers_[i]->signal(SIGKILL);
     int status = 0;
     CHECK(within(3000, [&] { return routers_[i]->ended(status); }));
@@ -251,14 +251,14 @@
   }
   void write_file(std::size_t i) {
     std::ofstream out(file(i));
-    out << "fleet { name: \"test\" listen: \"127.0.0.1:0\" advertise: \"" << links.at(i) << "\" site: \""
-        << (shape_.sites > 1 ? "hall" + std::to_string(i % shape_.sites) : "hall") << "\"\n"
+    out << "fleet { name: \"test\" listen: \"127.0.0.1:0\" advertise: \"" << links.advertised_address(i)
+        << "\" site: \"" << (shape_.sites > 1 ? "hall" + std::to_string(i % shape_.sites) : "hall") << "\"\n"
         << "directory: \"" << disk(i) << "\" " << (shape_.sites > 1 ? "" : "list_readers: \"hall\"")
         << " period_s: 0.2 probe_timeout_s: 0.06 lease_s: " << kLeaseMs / 1000.0
         << " election_s: 0.3 list_silence_s: 0.6\n";
     for (std::size_t v = 0; v < voters_; ++v)
-      out << "seeds: \"" << links.at(v) << "\" voters { router: \"" << id(v) << "\" id: " << v + 1
-          << " at: \"" << links.at(v) << "\" }\n";
+      out << "seeds: \"" << links.advertised_address(v) << "\" voters { router: \"" << id(v)
+          << "\" id: " << v + 1 << " at: \"" << links.advertised_address(v) << "\" }\n";
     std::string extra = shape_.extra;
     if (const std::size_t at = extra.find("@"); at != std::string::npos)
       extra.replace(at, 1, folder + "/" + id(i));
