--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -13,28 +13,29 @@
 
 namespace {
 
-constexpr Micros kGoneMemory = 600 * kSecond;  // how long a source's last word on an address is kept
-constexpr Micros kLeave = 10 * kSecond;        // a removed source is dropped by then at the latest
-constexpr double kSmallSize = 0.02, kMostSize = 50.0;
-constexpr double kSteps = 8.0;  // shares of priority groups move in steps, so that sizes seldom change
+constexpr Micros kRemovalRetention = 600 * kSecond;  // how long a source's report of a removal is kept
+constexpr Micros kSourceRemovalTimeout =
+    10 * kSecond;  // a source that a reload removed is dropped after this at the latest
+constexpr double kMinReplicaSize = 0.02, kMaxReplicaSize = 50.0;
+constexpr double kShareSteps = 8.0;  // shares of priority groups change in steps, so that sizes change rarely
 
 }  // namespace
 
 const char* to_string(Clause clause) {
   switch (clause) {
-    case Clause::named:
+    case Clause::reported:
       return "named";
     case Clause::draining:
       return "draining";
-    case Clause::gone:
+    case Clause::removed:
       return "gone";
-    case Clause::returning:
+    case Clause::reappeared:
       return "returning";
-    case Clause::doubted:
+    case Clause::removal_unconfirmed:
       return "doubted";
-    case Clause::held:
+    case Clause::stale:
       return "held";
-    case Clause::known:
+    case Clause::cached:
       return "known";
     case Clause::standby:
       return "standby";
@@ -58,11 +59,12 @@
       source = std::move(*old);
       old->spec.name.clear();
       source.leaving = false;
-      // Another name is another source. What the old one said is held until the new one has answered.
+      // A new DNS name is a new source. The reports of the old one are kept until the new one
+      // has answered.
       if (!same) {
         source.answered = source.failing = false;
-        source.only_known = true;
-        source.doubt_since = kNever;
+        source.only_cached = true;
+        source.unconfirmed_since = kNever;
         source.error.clear();
       }
     }
@@ -71,12 +73,12 @@
   }
   for (Source& old : sources_) {
     if (old.spec.name.empty()) continue;
-    if (!old.leaving) old.leave_by = now + kLeave;
+    if (!old.leaving) old.remove_by = now + kSourceRemovalTimeout;
     old.leaving = true;
     fresh.push_back(std::move(old));
   }
   sources_ = std::move(fresh);
-  settle(now);
+  recompute(now);
 }
 
 EndpointMerger::Source* EndpointMerger::find(const std::string& name) {
@@ -85,194 +87,200 @@
   return it == sources_.end() ? nullptr : &*it;
 }
 
-// ---- what sources say
-// -----------------------------------------------------------------------------------------
+// ---- reports of the sources
 
-void EndpointMerger::good(Micros now, Source& source) {
+void EndpointMerger::record_answer(Micros now, Source& source) {
   source.answered = true;
   source.failing = false;
-  source.only_known = false;
+  source.only_cached = false;
   source.last_answer = source.last_try = now;
   source.error.clear();
   ++source.answers;
 }
 
-void EndpointMerger::failed(Micros now, const std::string& name, const std::string& why) {
+void EndpointMerger::on_source_failed(Micros now, const std::string& name, const std::string& why) {
   Source* source = find(name);
   if (source == nullptr) return;
   source->failing = true;
   source->last_try = now;
   source->error = why;
   ++source->failures;
-  settle(now);
+  recompute(now);
 }
 
-// One word on one address. held_back: what this source had called gone comes back only after a while.
-void EndpointMerger::say(Micros now, Source& source, const std::string& address, Word word, bool held_back) {
-  const auto it = source.words.find(address);
-  word.since = now;
-  if (it == source.words.end()) {
-    word.new_since = source.answered;
+// Records a report on one address. delay_return: an address that this source had reported as draining or
+// removed is ready again only after Settings::return_delay.
+void EndpointMerger::record_report(Micros now, Source& source, const std::string& address,
+                                   AddressReport report, bool delay_return) {
+  const auto it = source.reports.find(address);
+  report.since = now;
+  if (it == source.reports.end()) {
+    report.joined_later = source.answered;
   } else {
-    const Word& old = it->second;
-    const bool was_out = old.standing == Standing::gone;
-    const bool was_bad = old.standing != Standing::ready;
-    if (old.standing == word.standing) {
-      word.since = old.since;
-      word.back_at = old.back_at;
-    } else if (word.standing == Standing::ready && was_bad && held_back) {
-      word.back_at = now + settings_.back_after;
+    const AddressReport& old = it->second;
+    const bool was_removed = old.state == ReportedState::removed;
+    const bool was_not_ready = old.state != ReportedState::ready;
+    if (old.state == report.state) {
+      report.since = old.since;
+      report.ready_at = old.ready_at;
+    } else if (report.state == ReportedState::ready && was_not_ready && delay_return) {
+      report.ready_at = now + settings_.return_delay;
     }
-    word.new_since = was_out ? source.answered && !old.all_at_once : old.new_since;
+    report.joined_later = was_removed ? source.answered && !old.mass_removal : old.joined_later;
   }
-  source.words[address] = std::move(word);
+  source.reports[address] = std::move(report);
 }
 
-void EndpointMerger::drop(Micros now, Source& source, const std::string& address) {
-  Word& word = source.words[address];
-  if (word.standing != Standing::gone) word.since = now;
-  word.standing = Standing::gone;
-  word.back_at = 0;
-  word.doubted = false;
+void EndpointMerger::record_removal(Micros now, Source& source, const std::string& address) {
+  AddressReport& report = source.reports[address];
+  if (report.state != ReportedState::removed) report.since = now;
+  report.state = ReportedState::removed;
+  report.ready_at = 0;
+  report.removal_unconfirmed = false;
 }
 
-void EndpointMerger::known(Micros now, const core::EndpointListUpdate& news) {
+void EndpointMerger::apply_cached_list(Micros now, const core::EndpointListUpdate& update) {
   for (Source& source : sources_) {
     if (!source.spec.list) continue;
-    take_list(now, source, news, true);
-    source.only_known = true;
+    merge_list(now, source, update, true);
+    source.only_cached = true;
   }
-  settle(now);
+  recompute(now);
 }
 
-void EndpointMerger::list(Micros now, const core::EndpointListUpdate& news) {
+void EndpointMerger::apply_list(Micros now, const core::EndpointListUpdate& update) {
   for (Source& source : sources_) {
     if (!source.spec.list || source.leaving) continue;
-    take_list(now, source, news, !source.answered);
-    good(now, source);
+    merge_list(now, source, update, !source.answered);
+    record_answer(now, source);
   }
-  settle(now);
+  recompute(now);
 }
 
-void EndpointMerger::take_list(Micros now, Source& source, const core::EndpointListUpdate& news, bool first) {
-  const bool whole = news.kind != policy::ListKind::delta;
-  // A list that was set back (its service restored, another instance asked) may not bring back what it has
-  // already called gone; only time can tell which of the two was right.
-  const bool older = !first && news.version < source.version;
-  source.version = whole ? news.version : std::max(source.version, news.version);
-  if (whole) source.listed.clear();
-  for (const core::Endpoint& entry : news.entries) {
+void EndpointMerger::merge_list(Micros now, Source& source, const core::EndpointListUpdate& update,
+                                bool first) {
+  const bool full = update.kind != policy::ListKind::delta;
+  // A list whose version went backwards (its service was restored, or another instance answered) may contain
+  // replicas that it has already removed. They return only after the delay, as it is unknown which of the two
+  // lists is right.
+  const bool version_went_back = !first && update.version < source.version;
+  source.version = full ? update.version : std::max(source.version, update.version);
+  if (full) source.list_entries.clear();
+  for (const core::Endpoint& entry : update.entries) {
     if (entry.replica.health == Health::gone) {
-      source.listed.erase(entry.replica.id);
+      source.list_entries.erase(entry.replica.id);
     } else {
-      source.listed[entry.replica.id] = entry;  // under its new address, if that moved
+      source.list_entries[entry.replica.id] = entry;  // its address may have changed
     }
   }
-  // An address belongs to whom the list has there: one that is ready, the youngest, goes first.
+  // If the list has several replicas at one address, a ready one wins, then the one that started last.
   std::map<std::string, const core::Endpoint*> occupants;
-  for (const auto& [id, entry] : source.listed) {
+  for (const auto& [id, entry] : source.list_entries) {
     const core::Endpoint*& at = occupants[entry.address];
     const auto rank = [](const core::Endpoint& e) {
       return std::tuple(e.replica.health == Health::ready, e.replica.started_at, e.replica.id);
     };
     if (at == nullptr || rank(*at) < rank(entry)) at = &entry;
   }
-  for (auto& [address, word] : source.words) {
-    if (occupants.count(address) == 0) drop(now, source, address);
+  for (auto& [address, report] : source.reports) {
+    if (occupants.count(address) == 0) record_removal(now, source, address);
   }
   for (const auto& [address, entry] : occupants) {
-    Word word;
-    word.standing = entry->replica.health == Health::ready ? Standing::ready : Standing::draining;
-    word.entry = *entry;
-    word.size = entry->replica.size;
-    say(now, source, address, std::move(word), older);
+    AddressReport report;
+    report.state = entry->replica.health == Health::ready ? ReportedState::ready : ReportedState::draining;
+    report.entry = *entry;
+    report.size = entry->replica.size;
+    record_report(now, source, address, std::move(report), version_went_back);
   }
 }
 
-void EndpointMerger::dns(Micros now, const std::string& name, const DnsFacts& facts) {
-  Source* found = find(name);
-  if (found == nullptr || found->leaving) return;
-  Source& source = *found;
-  // An answer that says what the last one did changes nothing; most do.
-  if (current(source) && source.doubt_since == kNever && facts.fingerprint != 0 &&
-      facts.fingerprint == source.fingerprint)
-    return good(now, source);
-  source.fingerprint = facts.fingerprint;
-  std::map<std::string, Word> named;
-  // Weights are shares within one priority (RFC 2782); the mean of them is a replica of size 1.
+void EndpointMerger::apply_dns_answer(Micros now, const std::string& name, const ResolvedAddresses& answer) {
+  Source* known_source = find(name);
+  if (known_source == nullptr || known_source->leaving) return;
+  Source& source = *known_source;
+  // Most answers equal the last one and change nothing.
+  if (current(source) && source.unconfirmed_since == kNever && answer.fingerprint != 0 &&
+      answer.fingerprint == source.fingerprint)
+    return record_answer(now, source);
+  source.fingerprint = answer.fingerprint;
+  std::map<std::string, AddressReport> addresses;
+  // Weights are relative within one priority (RFC 2782). A replica with the mean weight has size 1.
   std::map<std::uint16_t, std::pair<double, int>> weights;
-  for (const Named& n : facts.named) {
-    auto& [sum, count] = weights[n.priority];
-    sum += n.weight;
-    count += n.weight > 0;
+  for (const DnsAddress& target : answer.named) {
+    auto& [sum, count] = weights[target.priority];
+    sum += target.weight;
+    count += target.weight > 0;
   }
-  for (const Named& n : facts.named) {
-    const auto& [sum, count] = weights[n.priority];
-    Word word;
-    word.host = n.host;
-    word.priority = n.priority;
+  for (const DnsAddress& target : answer.named) {
+    const auto& [sum, count] = weights[target.priority];
+    AddressReport report;
+    report.host = target.host;
+    report.priority = target.priority;
     if (count > 0)
-      word.size = n.weight == 0 ? kSmallSize : std::clamp(n.weight * count / sum, kSmallSize, kMostSize);
-    if (n.weight == 0 && count > 0 && source.spec.zero_drains) word.standing = Standing::draining;
-    // Two targets may lead to one address: it is one replica, of the better priority.
-    const auto [it, first] = named.try_emplace(n.address, word);
-    if (!first && word.priority < it->second.priority) it->second = std::move(word);
+      report.size = target.weight == 0
+                        ? kMinReplicaSize
+                        : std::clamp(target.weight * count / sum, kMinReplicaSize, kMaxReplicaSize);
+    if (target.weight == 0 && count > 0 && source.spec.zero_weight_drains)
+      report.state = ReportedState::draining;
+    // Two targets may resolve to one address: it is one replica, of the higher priority (the lower number).
+    const auto [it, inserted] = addresses.try_emplace(target.address, report);
+    if (!inserted && report.priority < it->second.priority) it->second = std::move(report);
   }
-  std::vector<std::string> left_out;
-  std::size_t before = 0;
-  for (const auto& [address, word] : source.words) {
-    if (word.standing == Standing::gone) continue;
-    ++before;
-    if (named.count(address) != 0) continue;
+  std::vector<std::string> missing;
+  std::size_t reported_before = 0;
+  for (const auto& [address, report] : source.reports) {
+    if (report.state == ReportedState::removed) continue;
+    ++reported_before;
+    if (addresses.count(address) != 0) continue;
     const bool unresolved =
-        std::find(facts.unresolved.begin(), facts.unresolved.end(), word.host) != facts.unresolved.end();
-    if (!unresolved) left_out.push_back(address);
+        std::find(answer.unresolved.begin(), answer.unresolved.end(), report.host) != answer.unresolved.end();
+    if (!unresolved) missing.push_back(address);
   }
-  // The guard counts from the most that the source has named of late, so that many small steps are one large
-  // one.
-  if (now - source.peak_at > settings_.guard) source.peak = 0;
-  if (before >= source.peak) {
-    source.peak = before;
+  // The limit is relative to the most addresses that the source reported recently, so that many small
+  // removals count as one large removal.
+  if (now - source.peak_at > settings_.confirm_delay) source.peak_count = 0;
+  if (reported_before >= source.peak_count) {
+    source.peak_count = reported_before;
     source.peak_at = now;
   }
-  const std::size_t stay = before - left_out.size();
-  const bool too_many =
-      source.answered && !left_out.empty() &&
-      static_cast<double>(stay) < (1.0 - settings_.guard_part) * static_cast<double>(source.peak);
-  bool doubt = too_many;
-  if (!too_many) {
-    source.doubt_since = kNever;
-  } else if (source.doubt_since == kNever) {
-    source.doubt_since = now;
-    source.asked_again = false;
-    ++source.doubts;
-  } else if (now >= source.doubt_since + settings_.guard && source.asked_again) {
-    doubt = false;  // it has stood, and was asked for again meanwhile
-    source.doubt_since = kNever;
-    source.peak = 0;
+  const std::size_t remaining = reported_before - missing.size();
+  const bool over_limit = source.answered && !missing.empty() &&
+                          static_cast<double>(remaining) <
+                              (1.0 - settings_.max_removed_fraction) * static_cast<double>(source.peak_count);
+  bool unconfirmed = over_limit;
+  if (!over_limit) {
+    source.unconfirmed_since = kNever;
+  } else if (source.unconfirmed_since == kNever) {
+    source.unconfirmed_since = now;
+    source.confirm_requested = false;
+    ++source.unconfirmed_removals;
+  } else if (now >= source.unconfirmed_since + settings_.confirm_delay && source.confirm_requested) {
+    unconfirmed = false;  // the removal has lasted for confirm_delay and was queried again meanwhile
+    source.unconfirmed_since = kNever;
+    source.peak_count = 0;
   }
-  if (doubt) alarm(source.doubt_since + settings_.guard);
-  for (const std::string& address : left_out) {
-    if (doubt) {
-      source.words[address].doubted = true;
+  if (unconfirmed) schedule(source.unconfirmed_since + settings_.confirm_delay);
+  for (const std::string& address : missing) {
+    if (unconfirmed) {
+      source.reports[address].removal_unconfirmed = true;
     } else {
-      drop(now, source, address);
-      source.words[address].all_at_once = too_many;
+      record_removal(now, source, address);
+      source.reports[address].mass_removal = over_limit;
     }
   }
-  for (auto& [address, word] : named) say(now, source, address, std::move(word), true);
-  good(now, source);
-  settle(now);
+  for (auto& [address, report] : addresses) record_report(now, source, address, std::move(report), true);
+  record_answer(now, source);
+  recompute(now);
 }
 
-std::vector<std::string> EndpointMerger::to_confirm(Micros now) {
+std::vector<std::string> EndpointMerger::names_to_confirm(Micros now) {
   std::vector<std::string> out;
   for (Source& s : sources_) {
-    if (s.doubt_since == kNever || s.spec.list || s.leaving) continue;
-    // Half-way through, and from the end on until an answer comes.
-    if (now >= s.doubt_since + settings_.guard ||
-        (!s.asked_again && now >= s.doubt_since + settings_.guard / 2)) {
-      s.asked_again = true;
+    if (s.unconfirmed_since == kNever || s.spec.list || s.leaving) continue;
+    // Once after half of the delay, and from its end on with each call until an answer comes.
+    if (now >= s.unconfirmed_since + settings_.confirm_delay ||
+        (!s.confirm_requested && now >= s.unconfirmed_since + settings_.confirm_delay / 2)) {
+      s.confirm_requested = true;
       out.push_back(s.spec.dns_name);
     }
   }
@@ -280,254 +288,267 @@
 }
 
 // ---- verdicts
-// -------------------------------------------------------------------------------------------------
 
-// A source that has failed for very long has no say beside one that answers; alone it is better than nothing.
+// Whether a source has failed for so long that it is ignored. It is not ignored while no other source
+// answers: old reports are better than none.
 bool EndpointMerger::lapsed(const Source& source, Micros now) const {
   if (!source.failing || source.last_answer < 0 || now - source.last_answer < settings_.source_stale)
     return false;
   return std::any_of(sources_.begin(), sources_.end(), [this](const Source& s) { return current(s); });
 }
 
-void EndpointMerger::wake(Micros now) {
-  if (now >= alarm_) settle(now);
+void EndpointMerger::on_timer(Micros now) {
+  if (now >= next_timer_) recompute(now);
 }
-Micros EndpointMerger::next_timer() const { return alarm_; }
+Micros EndpointMerger::next_timer() const { return next_timer_; }
 
-void EndpointMerger::settle(Micros now) {
-  alarm_ = kNever;
+void EndpointMerger::recompute(Micros now) {
+  next_timer_ = kNever;
   ++generation_;
-  // A removed source goes once each that stays has answered or failed.
-  const bool all_heard = std::all_of(sources_.begin(), sources_.end(),
-                                     [](const Source& s) { return s.leaving || s.answered || s.failing; });
-  std::erase_if(sources_, [&](const Source& s) { return s.leaving && (all_heard || now >= s.leave_by); });
-
-  struct Sum {
-    const Word* best = nullptr;  // the word that speaks for it with the most weight
+  // A source that a reload removed is dropped once each remaining one has answered or failed.
+  const bool all_responded = std::all_of(
+      sources_.begin(), sources_.end(), [](const Source& s) { return s.leaving || s.answered || s.failing; });
+  std::erase_if(sources_,
+                [&](const Source& s) { return s.leaving && (all_responded || now >= s.remove_by); });
+
+  struct Candidate {
+    const AddressReport* best = nullptr;  // the report that decides
     const Source* best_source = nullptr;
     int rank = 100;
-    Clause clause = Clause::held;
-    const Word* listed = nullptr;
+    Clause clause = Clause::stale;
+    const AddressReport* list_report = nullptr;
     std::uint16_t priority = UINT16_MAX;
-    bool prioritised = false;
+    bool has_priority = false;
   };
-  std::map<std::string, Sum> sums;
+  std::map<std::string, Candidate> candidates;
   for (Source& source : sources_) {
-    if (source.leaving) alarm(source.leave_by);
-    if (source.doubt_since != kNever) {
-      alarm(std::max(now + kSecond, source.asked_again ? source.doubt_since + settings_.guard
-                                                       : source.doubt_since + settings_.guard / 2));
+    if (source.leaving) schedule(source.remove_by);
+    if (source.unconfirmed_since != kNever) {
+      schedule(std::max(now + kSecond, source.confirm_requested
+                                           ? source.unconfirmed_since + settings_.confirm_delay
+                                           : source.unconfirmed_since + settings_.confirm_delay / 2));
     }
     if (lapsed(source, now)) continue;
     if (source.failing && source.last_answer >= 0)
-      alarm(std::max(now + kSecond, source.last_answer + settings_.source_stale));
-    for (auto it = source.words.begin(); it != source.words.end();) {
-      const Word& word = it->second;
-      if (word.standing == Standing::gone && now - word.since >= kGoneMemory) {
-        const bool named_elsewhere = std::any_of(sources_.begin(), sources_.end(), [&](const Source& o) {
-          const auto w = o.words.find(it->first);
-          return &o != &source && w != o.words.end() && w->second.standing != Standing::gone;
-        });
-        if (!named_elsewhere) {
-          it = source.words.erase(it);
+      schedule(std::max(now + kSecond, source.last_answer + settings_.source_stale));
+    for (auto it = source.reports.begin(); it != source.reports.end();) {
+      const AddressReport& report = it->second;
+      if (report.state == ReportedState::removed && now - report.since >= kRemovalRetention) {
+        const bool reported_elsewhere =
+            std::any_of(sources_.begin(), sources_.end(), [&](const Source& other) {
+              const auto found = other.reports.find(it->first);
+              return &other != &source && found != other.reports.end() &&
+                     found->second.state != ReportedState::removed;
+            });
+        if (!reported_elsewhere) {
+          it = source.reports.erase(it);
           continue;
         }
       }
-      // The worst word wins; among good ones, the one with the best ground. Clause 2 and the numbers there.
-      std::pair<int, Clause> rank{5, Clause::held};
-      if (word.standing == Standing::gone) {
-        rank = {0, Clause::gone};
-        alarm(std::max(now + kSecond, word.since + kGoneMemory));
-      } else if (word.back_at > now) {
-        rank = {1, Clause::returning};
-        alarm(word.back_at);
-      } else if (word.standing == Standing::draining) {
+      // The worst report wins; among ready ones, the most reliable. The lowest rank decides; ranks of 3 and
+      // above mean ready.
+      std::pair<int, Clause> rank{5, Clause::stale};
+      if (report.state == ReportedState::removed) {
+        rank = {0, Clause::removed};
+        schedule(std::max(now + kSecond, report.since + kRemovalRetention));
+      } else if (report.ready_at > now) {
+        rank = {1, Clause::reappeared};
+        schedule(report.ready_at);
+      } else if (report.state == ReportedState::draining) {
         rank = {2, Clause::draining};
-      } else if (word.doubted) {
-        rank = {4, Clause::doubted};
-      } else if (source.only_known) {
-        rank = {6, Clause::known};
+      } else if (report.removal_unconfirmed) {
+        rank = {4, Clause::removal_unconfirmed};
+      } else if (source.only_cached) {
+        rank = {6, Clause::cached};
       } else if (!source.failing && !source.leaving) {
-        rank = {3, Clause::named};
+        rank = {3, Clause::reported};
       }
-      Sum& sum = sums[it->first];
-      if (rank.first < sum.rank) {
-        sum.rank = rank.first;
-        sum.clause = rank.second;
-        sum.best = &word;
-        sum.best_source = &source;
+      Candidate& candidate = candidates[it->first];
+      if (rank.first < candidate.rank) {
+        candidate.rank = rank.first;
+        candidate.clause = rank.second;
+        candidate.best = &report;
+        candidate.best_source = &source;
       }
-      if (source.spec.list && word.standing != Standing::gone) sum.listed = &word;
+      if (source.spec.list && report.state != ReportedState::removed) candidate.list_report = &report;
       if (!source.spec.list) {
-        sum.priority = std::min(sum.prioritised ? sum.priority : word.priority, word.priority);
-        sum.prioritised = true;
+        candidate.priority =
+            std::min(candidate.has_priority ? candidate.priority : report.priority, report.priority);
+        candidate.has_priority = true;
       }
       ++it;
     }
   }
-  // The list knows no priorities: what it alone names belongs to the first group.
+  // The list has no priorities: an address that only the list reports belongs to the first group.
   std::uint16_t first_group = UINT16_MAX;
-  for (const auto& [address, sum] : sums) first_group = std::min(first_group, sum.priority);
-  std::map<std::string, Verdict> fresh;
-  for (const auto& [address, sum] : sums) {
-    Verdict& v = fresh[address];
-    v.clause = sum.clause;
-    v.source = sum.best_source->spec.name;
-    v.priority = sum.prioritised ? sum.priority : first_group;
-    if (sum.listed != nullptr) {
-      // What the list knows of a machine goes before what DNS leaves to guess.
-      v.endpoint = sum.listed->entry;
-      v.endpoint.replica.size = sum.listed->size;
+  for (const auto& [address, candidate] : candidates) first_group = std::min(first_group, candidate.priority);
+  std::map<std::string, Verdict> verdicts;
+  for (const auto& [address, candidate] : candidates) {
+    Verdict& verdict = verdicts[address];
+    verdict.clause = candidate.clause;
+    verdict.source = candidate.best_source->spec.name;
+    verdict.priority = candidate.has_priority ? candidate.priority : first_group;
+    if (candidate.list_report != nullptr) {
+      // The list's entry is preferred: for DNS sources these values come from the settings or are guessed.
+      verdict.endpoint = candidate.list_report->entry;
+      verdict.endpoint.replica.size = candidate.list_report->size;
     } else {
-      const SourceSpec& spec = sum.best_source->spec;
-      v.endpoint.replica.zone = spec.zone;
-      v.endpoint.replica.kind = spec.kind;
-      v.endpoint.replica.cell = spec.cell;
-      v.endpoint.replica.size = sum.best->size;
-      // DNS tells no start. One that joins a set which is already known has most likely just started, and a
-      // cold replica may not be pushed over.
-      if (sum.best->new_since) v.endpoint.replica.started_at = static_cast<double>(sum.best->since) / 1e6;
-      if (const auto old = verdicts_.find(address);
-          old != verdicts_.end() && old->second.endpoint.replica.health == Health::ready && sum.rank >= 3)
-        v.endpoint.replica.started_at =
-            old->second.endpoint.replica.started_at;  // it runs: it has not started anew
+      const SourceSpec& spec = candidate.best_source->spec;
+      verdict.endpoint.replica.zone = spec.zone;
+      verdict.endpoint.replica.kind = spec.kind;
+      verdict.endpoint.replica.cell = spec.cell;
+      verdict.endpoint.replica.size = candidate.best->size;
+      // DNS has no start times. A replica that joins a known set has most likely just started, and needs slow
+      // start so that it is not overloaded while cold.
+      if (candidate.best->joined_later)
+        verdict.endpoint.replica.started_at = static_cast<double>(candidate.best->since) / 1e6;
+      if (const auto old = verdicts_.find(address); old != verdicts_.end() &&
+                                                    old->second.endpoint.replica.health == Health::ready &&
+                                                    candidate.rank >= 3)
+        verdict.endpoint.replica.started_at =
+            old->second.endpoint.replica.started_at;  // it was ready before: it has not restarted
     }
-    v.endpoint.address = address;
-    v.endpoint.replica.id = replica_id(address);
-    v.endpoint.replica.health = sum.rank >= 3   ? Health::ready
-                                : sum.rank == 2 ? Health::draining
-                                                : Health::gone;
+    verdict.endpoint.address = address;
+    verdict.endpoint.replica.id = replica_id(address);
+    verdict.endpoint.replica.health = candidate.rank >= 3   ? Health::ready
+                                      : candidate.rank == 2 ? Health::draining
+                                                            : Health::gone;
   }
-  verdicts_ = std::move(fresh);
-  spread(now);
+  verdicts_ = std::move(verdicts);
+  assign_traffic_shares(now);
 }
 
-// Groups of higher priority first. A group that lacks replicas keeps the part of the traffic that it can
-// take; the rest goes on to the next. Lowered at once, raised after a wait and only well above the threshold.
-void EndpointMerger::spread(Micros now) {
+// Splits the traffic over the priority groups, the highest priority first. A group with too few ready
+// replicas keeps the fraction of the traffic that it can serve, and the rest spills to the next group. A
+// group's fraction is lowered at once. It is raised only after spill_hold, and to 1 only from spill_end on,
+// so that it does not flap.
+void EndpointMerger::assign_traffic_shares(Micros now) {
   struct Count {
-    double known = 0.0, ready = 0.0, size = 0.0;
+    double total = 0.0, ready = 0.0, ready_size = 0.0;
   };
   std::map<std::uint16_t, Count> counts;
-  for (const auto& [address, v] : verdicts_) {
-    Count& c = counts[v.priority];
-    c.known += 1.0;  // with those that drain or went of late: they are what it lacks
-    if (v.endpoint.replica.health != Health::ready) continue;
-    c.ready += 1.0;
-    c.size += v.endpoint.replica.size;
+  for (const auto& [address, verdict] : verdicts_) {
+    Count& count = counts[verdict.priority];
+    count.total += 1.0;  // with draining and recently removed replicas, which the group is missing
+    if (verdict.endpoint.replica.health != Health::ready) continue;
+    count.ready += 1.0;
+    count.ready_size += verdict.endpoint.replica.size;
   }
-  shares_.clear();
-  double left = 1.0, taken_size = 0.0, taken_share = 0.0;
-  std::map<std::uint16_t, double> factor;
+  traffic_shares_.clear();
+  double unassigned_share = 1.0, assigned_size = 0.0, assigned_share = 0.0;
+  std::map<std::uint16_t, double> size_factors;
   std::erase_if(groups_, [&](const auto& g) { return counts.count(g.first) == 0; });
   for (auto it = counts.begin(); it != counts.end(); ++it) {
-    const Count& c = it->second;
-    Group& group = groups_[it->first];
-    const double part = c.known > 0.0 ? c.ready / c.known : 0.0;
-    const double can = std::min(1.0, part / settings_.spill_below);
-    double step = part >= settings_.spill_below ? 1.0 : std::floor(can * kSteps) / kSteps;
-    if (c.ready > 0.0) step = std::max(step, 1.0 / kSteps);
-    if (c.ready == 0.0) step = 0.0;
-    if (step < group.kept) {
-      group.kept = step;
-      group.lowered = now;
-    } else if (step > group.kept) {
-      const bool well = step < 1.0 || part >= settings_.spill_end;
-      if (group.kept == 0.0 || (well && now >= group.lowered + settings_.spill_hold)) {
-        group.kept = step;
-      } else if (well) {
-        alarm(group.lowered + settings_.spill_hold);
+    const Count& count = it->second;
+    PriorityGroup& group = groups_[it->first];
+    const double ready_fraction = count.total > 0.0 ? count.ready / count.total : 0.0;
+    const double capacity = std::min(1.0, ready_fraction / settings_.spill_below);
+    double step =
+        ready_fraction >= settings_.spill_below ? 1.0 : std::floor(capacity * kShareSteps) / kShareSteps;
+    if (count.ready > 0.0) step = std::max(step, 1.0 / kShareSteps);
+    if (count.ready == 0.0) step = 0.0;
+    if (step < group.accepted_fraction) {
+      group.accepted_fraction = step;
+      group.lowered_at = now;
+    } else if (step > group.accepted_fraction) {
+      const bool may_raise = step < 1.0 || ready_fraction >= settings_.spill_end;
+      if (group.accepted_fraction == 0.0 || (may_raise && now >= group.lowered_at + settings_.spill_hold)) {
+        group.accepted_fraction = step;
+      } else if (may_raise) {
+        schedule(group.lowered_at + settings_.spill_hold);
       }
     }
-    const bool others =
+    const bool later_group_ready =
         std::any_of(std::next(it), counts.end(), [](const auto& o) { return o.second.ready > 0; });
-    const double share = others ? left * group.kept : (c.ready > 0.0 ? left : 0.0);
-    shares_[it->first] = share;
-    // Sizes are scaled so that the group's part of all sizes is its share of the traffic.
-    if (share > 0.0 && c.size > 0.0) {
-      factor[it->first] = taken_share > 0.0 ? share / taken_share * taken_size / c.size : 1.0;
-      taken_size += c.size * factor[it->first];
-      taken_share += share;
+    const double share = later_group_ready ? unassigned_share * group.accepted_fraction
+                                           : (count.ready > 0.0 ? unassigned_share : 0.0);
+    traffic_shares_[it->first] = share;
+    // Scales sizes so that the group's fraction of the total size equals its share of the traffic.
+    if (share > 0.0 && count.ready_size > 0.0) {
+      size_factors[it->first] =
+          assigned_share > 0.0 ? share / assigned_share * assigned_size / count.ready_size : 1.0;
+      assigned_size += count.ready_size * size_factors[it->first];
+      assigned_share += share;
     }
-    left -= share;
-    if (left < 1e-9) left = 0.0;
+    unassigned_share -= share;
+    if (unassigned_share < 1e-9) unassigned_share = 0.0;
   }
-  for (auto& [address, v] : verdicts_) {
-    if (v.endpoint.replica.health != Health::ready) continue;
-    const auto f = factor.find(v.priority);
-    if (f == factor.end()) {
-      v.endpoint.replica.health = Health::draining;
-      v.clause = Clause::standby;
+  for (auto& [address, verdict] : verdicts_) {
+    if (verdict.endpoint.replica.health != Health::ready) continue;
+    const auto size_factor = size_factors.find(verdict.priority);
+    if (size_factor == size_factors.end()) {
+      verdict.endpoint.replica.health = Health::draining;
+      verdict.clause = Clause::standby;
     } else {
-      v.endpoint.replica.size *= f->second;
+      verdict.endpoint.replica.size *= size_factor->second;
     }
   }
 }
 
-// ---- telling
-// --------------------------------------------------------------------------------------------------
-
-std::optional<core::EndpointListUpdate> EndpointMerger::changes() {
-  core::EndpointListUpdate news;
-  news.kind = policy::ListKind::delta;
-  for (const auto& [address, v] : verdicts_) {
-    const auto it = told_.find(address);
-    const auto& r = v.endpoint.replica;
-    if (it == told_.end() && r.health == Health::gone) continue;
-    if (it != told_.end()) {
-      const auto& o = it->second.replica;
-      if (o.health == r.health && o.size == r.size && o.started_at == r.started_at && o.zone == r.zone &&
-          o.kind == r.kind && o.cell == r.cell)
+// ---- results
+
+std::optional<core::EndpointListUpdate> EndpointMerger::take_changes() {
+  core::EndpointListUpdate update;
+  update.kind = policy::ListKind::delta;
+  for (const auto& [address, verdict] : verdicts_) {
+    const auto it = taken_endpoints_.find(address);
+    const auto& replica = verdict.endpoint.replica;
+    if (it == taken_endpoints_.end() && replica.health == Health::gone) continue;
+    if (it != taken_endpoints_.end()) {
+      const auto& taken = it->second.replica;
+      if (taken.health == replica.health && taken.size == replica.size &&
+          taken.started_at == replica.started_at && taken.zone == replica.zone &&
+          taken.kind == replica.kind && taken.cell == replica.cell)
         continue;
     }
-    news.entries.push_back(v.endpoint);
-    told_[address] = v.endpoint;
+    update.entries.push_back(verdict.endpoint);
+    taken_endpoints_[address] = verdict.endpoint;
   }
-  for (auto it = told_.begin(); it != told_.end();) {
+  for (auto it = taken_endpoints_.begin(); it != taken_endpoints_.end();) {
     if (verdicts_.count(it->first) != 0) {
       ++it;
       continue;
     }
     if (it->second.replica.health != Health::gone) {
-      news.entries.push_back(it->second);
-      news.entries.back().replica.health = Health::gone;
+      update.entries.push_back(it->second);
+      update.entries.back().replica.health = Health::gone;
     }
-    it = told_.erase(it);
+    it = taken_endpoints_.erase(it);
   }
-  if (news.entries.empty()) return std::nullopt;
-  news.version = ++version_;
-  return news;
+  if (update.entries.empty()) return std::nullopt;
+  update.version = ++version_;
+  return update;
 }
 
-core::EndpointListUpdate EndpointMerger::whole() const {
-  core::EndpointListUpdate news;
-  news.kind = policy::ListKind::full;
-  news.version = version_;
-  for (const auto& [address, v] : verdicts_) {
-    if (v.endpoint.replica.health != Health::gone) news.entries.push_back(v.endpoint);
+core::EndpointListUpdate EndpointMerger::full_list() const {
+  core::EndpointListUpdate update;
+  update.kind = policy::ListKind::full;
+  update.version = version_;
+  for (const auto& [address, verdict] : verdicts_) {
+    if (verdict.endpoint.replica.health != Health::gone) update.entries.push_back(verdict.endpoint);
   }
-  return news;
+  return update;
 }
 
-bool EndpointMerger::answered() const {
+bool EndpointMerger::any_answered() const {
   return std::any_of(sources_.begin(), sources_.end(), [](const Source& s) { return s.answered; });
 }
 bool EndpointMerger::all_failed() const {
-  return !answered() &&
+  return !any_answered() &&
          std::all_of(sources_.begin(), sources_.end(), [](const Source& s) { return s.failing; });
 }
 
-std::vector<Said> EndpointMerger::said(const std::string& address, Micros now) const {
-  std::vector<Said> out;
+std::vector<ReportSummary> EndpointMerger::said(const std::string& address, Micros now) const {
+  std::vector<ReportSummary> out;
   for (const Source& s : sources_) {
-    const auto it = s.words.find(address);
-    if (it == s.words.end()) continue;
-    const Word& w = it->second;
-    const char* what = w.standing == Standing::gone       ? "gone"
-                       : w.standing == Standing::draining ? "draining"
-                       : w.back_at > now                  ? "returning"
-                       : w.doubted                        ? "left out (doubted)"
-                                                          : "ready";
+    const auto it = s.reports.find(address);
+    if (it == s.reports.end()) continue;
+    const AddressReport& report = it->second;
+    const char* what = report.state == ReportedState::removed    ? "gone"
+                       : report.state == ReportedState::draining ? "draining"
+                       : report.ready_at > now                   ? "returning"
+                       : report.removal_unconfirmed              ? "left out (doubted)"
+                                                                 : "ready";
     out.push_back({s.spec.name, what});
   }
   return out;
@@ -536,21 +557,23 @@
 std::vector<SourceStatus> EndpointMerger::status(Micros now) const {
   std::vector<SourceStatus> out;
   for (const Source& s : sources_) {
-    SourceStatus st;
-    st.name = s.spec.name;
-    st.state = s.leaving        ? "leaving"
-               : lapsed(s, now) ? "lapsed"
-               : s.failing      ? "failing"
-               : s.answered     ? "current"
-                                : "waiting";
-    st.age = s.last_answer < 0 ? -1 : now - s.last_answer;
-    st.error = s.error;
-    st.names = static_cast<std::size_t>(std::count_if(
-        s.words.begin(), s.words.end(), [](const auto& w) { return w.second.standing != Standing::gone; }));
-    st.answers = s.answers;
-    st.failures = s.failures;
-    st.doubts = s.doubts;
-    out.push_back(std::move(st));
+    SourceStatus status;
+    status.name = s.spec.name;
+    status.state = s.leaving        ? "leaving"
+                   : lapsed(s, now) ? "lapsed"
+                   : s.failing      ? "failing"
+                   : s.answered     ? "current"
+                                    : "waiting";
+    status.age = s.last_answer < 0 ? -1 : now - s.last_answer;
+    status.error = s.error;
+    status.names =
+        static_cast<std::size_t>(std::count_if(s.reports.begin(), s.reports.end(), [](const auto& w) {
+          return w.second.state != ReportedState::removed;
+        }));
+    status.answers = s.answers;
+    status.failures = s.failures;
+    status.unconfirmed_removals = s.unconfirmed_removals;
+    out.push_back(std::move(status));
   }
   return out;
 }
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-// A list that fails is asked again after a growing wait with jitter, as the module does where it asks itself.
-constexpr Micros kAskAgain = 500 * core::kMilli, kMostAskAgain = 2 * core::kSecond;
+// After a failure the list is requested again with exponential backoff and jitter, as the module does where
+// it requests the list itself.
+constexpr Micros kListRetryDelay = 500 * core::kMilli, kMaxListRetryDelay = 2 * core::kSecond;
 
-constexpr std::size_t kMostLogged = 20;  // replicas, one by one; more at once are a number
+constexpr std::size_t kMaxLoggedEndpoints = 20;  // of more changes at once, only the number is logged
 
 std::vector<std::string> dns_names(const std::vector<SourceSpec>& specs) {
   std::vector<std::string> out;
@@ -37,167 +38,166 @@
       clock_(clock),
       watch_(watch),
       specs_(std::move(specs)),
-      membership_(rule(file.rule()), specs_),
+      merger_(merge_settings(file.rule()), specs_),
       client_(io, clock, resolver_settings(file.resolver()), *this),
-      alarm_(io),
-      again_(io),
+      merge_timer_(io),
+      list_retry_timer_(io),
       uses_list_(has_list(specs_)) {
-  watch_.tell([this](core::EndpointListUpdate news) { listed(std::move(news)); });
+  watch_.tell([this](core::EndpointListUpdate update) { on_list_update(std::move(update)); });
 }
 EndpointSources::~EndpointSources() {
   watch_.tell([](core::EndpointListUpdate) {});
 }
 
-void EndpointSources::start(const std::string& known) {
-  if (uses_list_) watch_.known(known);
-  core::EndpointListUpdate held = membership_.whole();
-  membership_.changes();
-  held.kind = policy::ListKind::cached;
-  tell_(std::move(held));
+void EndpointSources::start(const std::string& cached_list) {
+  if (uses_list_) watch_.known(cached_list);
+  core::EndpointListUpdate cached = merger_.full_list();
+  merger_.take_changes();
+  cached.kind = policy::ListKind::cached;
+  tell_(std::move(cached));
   if (uses_list_) watch_.subscribe(true);
   client_.configure(client_.resolver().settings(), dns_names(specs_));
-  settle();
+  publish();
 }
 
 void EndpointSources::subscribe(bool on) {
-  asked_ = on;
-  if (on) settle();
+  list_requested_ = on;
+  if (on) publish();
 }
 
 void EndpointSources::reload(const deploy::Membership& file, std::vector<SourceSpec> specs) {
   specs_ = std::move(specs);
-  membership_.configure(clock_.now(), rule(file.rule()), specs_);
-  const bool used = std::exchange(uses_list_, has_list(specs_));
-  if (used != uses_list_) {
-    again_.cancel();
+  merger_.configure(clock_.now(), merge_settings(file.rule()), specs_);
+  const bool used_list = std::exchange(uses_list_, has_list(specs_));
+  if (used_list != uses_list_) {
+    list_retry_timer_.cancel();
     watch_.subscribe(uses_list_);
   }
   client_.configure(resolver_settings(file.resolver()), dns_names(specs_));
-  settle();
+  publish();
 }
 
-// ---- what sources say
-// -----------------------------------------------------------------------------------------
+// ---- updates from the sources
 
-void EndpointSources::listed(core::EndpointListUpdate news) {
-  for (core::Endpoint& entry : news.entries) {
+void EndpointSources::on_list_update(core::EndpointListUpdate update) {
+  for (core::Endpoint& entry : update.entries) {
     if (!entry.address.empty()) entry.address = canonical_address(entry.address);
   }
   const Micros now = clock_.now();
-  if (news.kind == policy::ListKind::cached) {
-    membership_.known(now, news);
-  } else if (news.kind == policy::ListKind::failed) {
+  if (update.kind == policy::ListKind::cached) {
+    merger_.apply_cached_list(now, update);
+  } else if (update.kind == policy::ListKind::failed) {
     for (const SourceSpec& s : specs_) {
-      if (s.list) membership_.failed(now, s.name, watch_.status());
+      if (s.list) merger_.on_source_failed(now, s.name, watch_.status());
     }
-    ask_list_again();
-    settle();
+    schedule_list_retry();
+    publish();
   } else {
     list_failures_ = 0;
-    membership_.list(now, news);
-    settle();
+    merger_.apply_list(now, update);
+    publish();
   }
 }
 
-void EndpointSources::ask_list_again() {
-  const Micros wait = std::min(kMostAskAgain, kAskAgain << std::min(list_failures_++, 8u));
+void EndpointSources::schedule_list_retry() {
+  const Micros delay = std::min(kMaxListRetryDelay, kListRetryDelay << std::min(list_failures_++, 8u));
   const double jitter = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
-  again_.expires_after(std::chrono::microseconds(static_cast<Micros>(static_cast<double>(wait) * jitter)));
-  again_.async_wait([this](error_code ec) {
+  list_retry_timer_.expires_after(
+      std::chrono::microseconds(static_cast<Micros>(static_cast<double>(delay) * jitter)));
+  list_retry_timer_.async_wait([this](error_code ec) {
     if (!ec && uses_list_) watch_.subscribe(true);
   });
 }
 
-const SourceSpec* EndpointSources::by_dns_name(const std::string& name) const {
+const SourceSpec* EndpointSources::find_by_dns_name(const std::string& name) const {
   const auto it = std::find_if(specs_.begin(), specs_.end(),
                                [&](const SourceSpec& s) { return !s.list && s.dns_name == name; });
   return it == specs_.end() ? nullptr : &*it;
 }
 
 void EndpointSources::answered(const std::string& name, const dns::SrvAnswer& answer) {
-  const SourceSpec* spec = by_dns_name(name);
-  // Past its lifetime it is no answer but what is held; failed() says so.
+  const SourceSpec* spec = find_by_dns_name(name);
+  // A stale answer is one from the cache whose lifetime has ended; failed() reports that query's failure.
   if (spec == nullptr || answer.stale) return;
-  membership_.dns(clock_.now(), spec->name, facts(answer));
-  settle();
+  merger_.apply_dns_answer(clock_.now(), spec->name, facts(answer));
+  publish();
 }
 
 void EndpointSources::failed(const std::string& name, const std::string& why) {
-  const SourceSpec* spec = by_dns_name(name);
+  const SourceSpec* spec = find_by_dns_name(name);
   if (spec == nullptr) return;
-  membership_.failed(clock_.now(), spec->name, why);
-  settle();
+  merger_.on_source_failed(clock_.now(), spec->name, why);
+  publish();
 }
 
-// ---- telling
-// --------------------------------------------------------------------------------------------------
+// ---- updates to the core
 
-void EndpointSources::settle() {
+void EndpointSources::publish() {
   const Micros now = clock_.now();
-  membership_.wake(now);
-  for (const std::string& name : membership_.to_confirm(now)) {
-    // Not from inside the resolver's own turn.
+  merger_.on_timer(now);
+  for (const std::string& name : merger_.names_to_confirm(now)) {
+    // Posted, as this may run inside a callback of the resolver.
     boost::asio::post(io_, [this, name] { client_.refresh(name); });
   }
   std::optional<core::EndpointListUpdate> changes;
-  if (std::exchange(seen_, membership_.generation()) != membership_.generation()) {
+  if (std::exchange(published_generation_, merger_.generation()) != merger_.generation()) {
     log_changes();
-    changes = membership_.changes();
+    changes = merger_.take_changes();
   }
-  if (membership_.answered() && (asked_ || !told_)) {
-    asked_ = false;
-    told_ = true;
-    tell_(membership_.whole());
-  } else if (asked_ && membership_.all_failed()) {
-    asked_ = false;
-    tell_({});  // the core asks again after a while
-  } else if (told_ && changes) {
+  if (merger_.any_answered() && (list_requested_ || !list_delivered_)) {
+    list_requested_ = false;
+    list_delivered_ = true;
+    tell_(merger_.full_list());
+  } else if (list_requested_ && merger_.all_failed()) {
+    list_requested_ = false;
+    tell_({});  // reports a failure; the core requests the list again later
+  } else if (list_delivered_ && changes) {
     tell_(std::move(*changes));
   }
-  const Micros at = membership_.next_timer();
-  if (at == core::kNever) {
-    alarm_.cancel();
+  const Micros next = merger_.next_timer();
+  if (next == core::kNever) {
+    merge_timer_.cancel();
     return;
   }
-  alarm_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(at)));
-  alarm_.async_wait([this](error_code ec) {
-    if (!ec) settle();
+  merge_timer_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(next)));
+  merge_timer_.async_wait([this](error_code ec) {
+    if (!ec) publish();
   });
 }
 
 void EndpointSources::log_changes() {
-  for (const SourceStatus& s : membership_.status(clock_.now())) {
-    std::string& before = logged_states_[s.name];
-    if (before == s.state) continue;
+  for (const SourceStatus& s : merger_.status(clock_.now())) {
+    std::string& logged_state = logged_source_states_[s.name];
+    if (logged_state == s.state) continue;
     const bool bad = s.state == std::string_view("failing") || s.state == std::string_view("lapsed");
     log::event(bad ? Level::warn : Level::info, "endpoint_source_state",
                {{"name", s.name}, {"state", s.state}, {"names", s.names}, {"error", s.error}});
-    before = s.state;
+    logged_state = s.state;
   }
-  const auto& verdicts = membership_.verdicts();
+  const auto& verdicts = merger_.verdicts();
   std::size_t changed = 0;
-  for (const auto& [address, v] : verdicts) {
-    const std::pair now{v.endpoint.replica.health, v.clause};
-    const auto [it, fresh] = logged_.try_emplace(address, now);
-    if (!fresh && it->second == now) continue;
-    it->second = now;
-    if (++changed > kMostLogged) continue;
+  for (const auto& [address, verdict] : verdicts) {
+    const std::pair state{verdict.endpoint.replica.health, verdict.clause};
+    const auto [it, inserted] = logged_endpoints_.try_emplace(address, state);
+    if (!inserted && it->second == state) continue;
+    it->second = state;
+    if (++changed > kMaxLoggedEndpoints) continue;
     log::event(Level::info, "endpoint_state",
                {{"address", address},
-                {"takes", now.first == Health::ready ? "new requests" : "nothing new"},
-                {"clause", static_cast<int>(v.clause)},
-                {"because", to_string(v.clause)},
-                {"source", v.source}});
+                {"takes", state.first == Health::ready ? "new requests" : "nothing new"},
+                {"clause", static_cast<int>(verdict.clause)},
+                {"because", to_string(verdict.clause)},
+                {"source", verdict.source}});
   }
-  if (changed > kMostLogged)
+  if (changed > kMaxLoggedEndpoints)
     log::event(Level::info, "endpoints_changed", {{"changed", changed}, {"held", verdicts.size()}});
-  if (logged_.size() > verdicts.size())
-    std::erase_if(logged_, [&](const auto& l) { return verdicts.count(l.first) == 0; });
+  if (logged_endpoints_.size() > verdicts.size())
+    std::erase_if(logged_endpoints_, [&](const auto& entry) { return verdicts.count(entry.first) == 0; });
 }
 
 std::string EndpointSources::status() const {
   std::string out;
-  for (const SourceStatus& s : membership_.status(clock_.now())) {
+  for (const SourceStatus& s : merger_.status(clock_.now())) {
     if (!out.empty()) out += "; ";
     out += s.name + ": " + s.state;
     if (s.age >= 0) out += ", answered " + std::to_string(s.age / core::kSecond) + " s ago";
@@ -208,36 +208,38 @@
 
 std::vector<std::pair<std::string, std::uint64_t>> EndpointSources::counters() const {
   std::vector<std::pair<std::string, std::uint64_t>> out;
-  const dns::ResolverCounters& d = client_.resolver().counters();
-  out = {{"dns_queries", d.queries},
-         {"dns_answers", d.answers},
-         {"dns_truncated", d.truncated},
-         {"dns_tcp", d.tcp},
-         {"dns_timeouts", d.timeouts},
-         {"dns_failures", d.failures},
-         {"dns_wrong_source", d.wrong_source},
-         {"dns_malformed", d.malformed},
-         {"dns_wrong_id", d.wrong_id},
-         {"dns_wrong_question", d.wrong_question},
-         {"dns_no_answer", d.no_answer},
-         {"dns_glue_refused", d.glue_refused},
-         {"dns_chains_refused", d.chains_refused},
-         {"dns_left_out", d.records_left_out},
+  const dns::ResolverCounters& dns_counters = client_.resolver().counters();
+  out = {{"dns_queries", dns_counters.queries},
+         {"dns_answers", dns_counters.answers},
+         {"dns_truncated", dns_counters.truncated},
+         {"dns_tcp", dns_counters.tcp},
+         {"dns_timeouts", dns_counters.timeouts},
+         {"dns_failures", dns_counters.failures},
+         {"dns_wrong_source", dns_counters.wrong_source},
+         {"dns_malformed", dns_counters.malformed},
+         {"dns_wrong_id", dns_counters.wrong_id},
+         {"dns_wrong_question", dns_counters.wrong_question},
+         {"dns_no_answer", dns_counters.no_answer},
+         {"dns_glue_refused", dns_counters.glue_refused},
+         {"dns_chains_refused", dns_counters.chains_refused},
+         {"dns_left_out", dns_counters.records_left_out},
          {"dns_cached", client_.resolver().cached()}};
-  std::array<std::uint64_t, 10> clauses{};
-  for (const auto& [address, v] : membership_.verdicts()) ++clauses[static_cast<std::size_t>(v.clause)];
-  for (int c = 2; c <= 9; ++c)
-    out.emplace_back(std::string("replicas_") + to_string(static_cast<Clause>(c)), clauses[c]);
-  std::uint64_t failing = 0, doubts = 0;
-  for (const SourceStatus& s : membership_.status(clock_.now())) {
+  std::array<std::uint64_t, 10> replicas_by_clause{};
+  for (const auto& [address, verdict] : merger_.verdicts())
+    ++replicas_by_clause[static_cast<std::size_t>(verdict.clause)];
+  for (int clause = 2; clause <= 9; ++clause)
+    out.emplace_back(std::string("replicas_") + to_string(static_cast<Clause>(clause)),
+                     replicas_by_clause[clause]);
+  std::uint64_t failing = 0, unconfirmed_removals = 0;
+  for (const SourceStatus& s : merger_.status(clock_.now())) {
     failing += s.state != std::string_view("current") && s.state != std::string_view("waiting");
-    doubts += s.doubts;
+    unconfirmed_removals += s.unconfirmed_removals;
     out.emplace_back("source_" + s.name + "_failures", s.failures);
     out.emplace_back("source_" + s.name + "_answers", s.answers);
     out.emplace_back("source_" + s.name + "_age_ms", s.age < 0 ? 0 : s.age / core::kMilli);
   }
   out.emplace_back("sources_failing", failing);
-  out.emplace_back("source_doubts", doubts);
+  out.emplace_back("source_doubts", unconfirmed_removals);
   return out;
 }
 
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -1,12 +1,12 @@
-// A recording of what the state machines of a fleet do: whole simulated fleets
-// (coordination::CoordinationProtocol, coordination::RaftNode, membership::Swim, shared::SharedState, over
-// tests/fleet/sim.h), the merge of endpoint sources (endpoint_sources::Membership) and what is heard of
-// replicas (shared::Witness, shared::Caution), each fed with a fixed stream of events. Recorded is a hash of
-// all that comes out: each datagram with its time, and each word to a router's jobs; of the others, each
-// answer that they give.
+// Recordings of the state machines of a fleet, each fed with a fixed stream of events: complete simulated
+// fleets (coordination::CoordinationProtocol, coordination::RaftNode, membership::Swim and
+// shared::SharedState on tests/fleet/sim.h), the merge of endpoint sources
+// (endpoint_sources::EndpointMerger), and health gossip (shared::HealthObserver, shared::EjectionPolicy).
+// Recorded is a hash of all outputs: of a simulated fleet each datagram with its time and each notification
+// to a router's jobs, of the others each returned value.
 //
-// The values were recorded on the commit before the refactoring for readability. A value may be changed only
-// in a commit that changes behaviour and means to; its message says which and why.
+// The values guard against unintended changes of behaviour. A value is changed only in a commit that
+// changes behaviour on purpose, and its message says which behaviour and why.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 namespace flintglade::tests {
 namespace {
 
-// Events are drawn with integer arithmetic of our own: the standard library's distributions may differ.
+// Draws events with its own integer arithmetic, as distributions differ between standard libraries.
 class EventRandom {
  public:
   explicit EventRandom(std::uint64_t seed) : engine_(seed) {}
@@ -36,7 +36,7 @@
   std::mt19937_64 engine_;
 };
 
-// ---- whole fleets
+// ---- simulated fleets
 
 constexpr unsigned kFirstFaultMs = 1500;
 constexpr unsigned kLastFaultMs = 11'000;
@@ -68,7 +68,7 @@
   return world;
 }
 
-// `rounds` faults of every kind, in an order that is fixed by the seed.
+// `rounds` faults of every kind; the seed determines them.
 std::vector<Fault> faults_of_every_kind(std::uint64_t seed, unsigned rounds, unsigned routers) {
   EventRandom random(seed);
   std::vector<Fault> faults;
@@ -103,7 +103,7 @@
 constexpr FleetRecording kTightSharing{11021, 0x65ed7196d4fb064au};
 
 constexpr FleetRecording kLongFleet{25313, 0xac77fc24d4d07043u};
-constexpr FleetRecording kFleetThatIsLeft{5777, 0x1940d343f08dc194u};
+constexpr FleetRecording kFleetWithLeavingRouters{5777, 0x1940d343f08dc194u};
 constexpr FleetRecording kIdleSharing{6584, 0xe87660466bfdaf47u};
 
 TEST(FleetRecording, WithoutFaults) { expect_recorded(play(short_world(11), {}), kCalmFleet); }
@@ -121,16 +121,16 @@
   expect_recorded(play(world, faults_of_every_kind(13, 1, world.routers)), kFleetOfFiveVoters);
 }
 
-TEST(FleetRecording, BudgetsAndCountsWithoutFaults) {
+TEST(FleetRecording, BudgetsAndCountersWithoutFaults) {
   expect_recorded(play(sharing_world(14), {}), kCalmSharing);
 }
 
-TEST(FleetRecording, BudgetsAndCountsWithFaultsOfEveryKind) {
+TEST(FleetRecording, BudgetsAndCountersWithFaultsOfEveryKind) {
   const World world = sharing_world(15);
   expect_recorded(play(world, faults_of_every_kind(15, 1, world.routers)), kSharingWithEveryFault);
 }
 
-TEST(FleetRecording, MoreAskedThanTheBudgetsHold) {
+TEST(FleetRecording, DemandAboveTheBudgets) {
   World world = sharing_world(16);
   world.asked = 900.0;
   world.skew = 6.0;
@@ -140,9 +140,9 @@
       kTightSharing);
 }
 
-// Long enough for the record to be compacted, and for a router that is stopped over and over to judge its own
-// health at its worst.
-TEST(FleetRecording, LongAndWithARouterThatIsOftenStopped) {
+// Runs long enough for the Raft log to be compacted, and for a router that is stopped repeatedly to reach the
+// worst score of its own health (SWIM Lifeguard).
+TEST(FleetRecording, LongRunWithARouterThatIsOftenStopped) {
   World world = short_world(17);
   world.faults_until = 90'000;
   world.ends = 100'000;
@@ -155,11 +155,11 @@
 TEST(FleetRecording, RoutersThatLeave) {
   World world = short_world(18);
   world.leave_at = 7000;
-  expect_recorded(play(world, {}), kFleetThatIsLeft);
+  expect_recorded(play(world, {}), kFleetWithLeavingRouters);
 }
 
-// Rows of counts that do not change for a while.
-TEST(FleetRecording, AlmostNothingAsked) {
+// Counter rows stay unchanged for some time.
+TEST(FleetRecording, AlmostNoDemand) {
   World world = sharing_world(19);
   world.asked = 0.3;
   expect_recorded(play(world, {}), kIdleSharing);
@@ -187,11 +187,11 @@
   spec.name = name;
   spec.dns_name = "_m._tcp." + name + ".";
   spec.zone = zone;
-  spec.zero_drains = zone % 2 == 0;
+  spec.zero_weight_drains = zone % 2 == 0;
   return spec;
 }
 
-// A reload keeps the list and takes some of the DNS sources, by the bits of `kept`.
+// The sources after a reload: the list, and the DNS sources whose bit in `kept` is set.
 std::vector<endpoint_sources::SourceSpec> sources(std::uint64_t kept) {
   std::vector<endpoint_sources::SourceSpec> out{list_source()};
   for (std::uint32_t i = 0; i < kDnsSources.size(); ++i) {
@@ -203,7 +203,7 @@
 class MergeRecorder {
  public:
   explicit MergeRecorder(std::uint64_t seed) : random_(seed) {
-    merge_.known(now_, on_endpoint_list_update(policy::ListKind::full, 6));
+    merger_.apply_cached_list(now_, list_update(policy::ListKind::full, 6));
     record();
   }
 
@@ -217,14 +217,14 @@
   }
 
  private:
-  // Most steps are short; now and then one is longer than every span of the settings but source_stale.
+  // Most steps are short; some are longer than every delay in the settings except source_stale.
   void pass_time() {
     const core::Micros longest = random_.one_in(40) ? 60 * core::kSecond : 2 * core::kSecond;
     const core::Micros end =
         now_ + static_cast<core::Micros>(random_.below(static_cast<std::uint64_t>(longest)));
-    while (merge_.next_timer() <= end) {
-      now_ = std::max(now_, merge_.next_timer());
-      merge_.wake(now_);
+    while (merger_.next_timer() <= end) {
+      now_ = std::max(now_, merger_.next_timer());
+      merger_.on_timer(now_);
       record();
     }
     now_ = end;
@@ -232,47 +232,49 @@
 
   void one_event() {
     const std::uint64_t kind = random_.below(100);
-    if (kind < 30) return merge_.list(now_, next_list());
-    if (kind < 80) return merge_.dns(now_, some_dns_source(), dns_answer());
-    if (kind < 92) return merge_.failed(now_, random_.one_in(4) ? "list" : some_dns_source(), "no answer");
-    if (kind < 97) return merge_.wake(now_);
+    if (kind < 30) return merger_.apply_list(now_, next_list());
+    if (kind < 80) return merger_.apply_dns_answer(now_, random_dns_source(), dns_answer());
+    if (kind < 92)
+      return merger_.on_source_failed(now_, random_.one_in(4) ? "list" : random_dns_source(), "no answer");
+    if (kind < 97) return merger_.on_timer(now_);
     reload();
   }
 
   void reload() {
     endpoint_sources::Settings settings;
-    settings.guard_part = static_cast<double>(random_.between(2, 9)) / 10.0;
-    settings.guard = static_cast<core::Micros>(random_.between(5, 40)) * core::kSecond;
-    settings.back_after = static_cast<core::Micros>(random_.between(1, 9)) * core::kSecond;
+    settings.max_removed_fraction = static_cast<double>(random_.between(2, 9)) / 10.0;
+    settings.confirm_delay = static_cast<core::Micros>(random_.between(5, 40)) * core::kSecond;
+    settings.return_delay = static_cast<core::Micros>(random_.between(1, 9)) * core::kSecond;
     settings.source_stale = static_cast<core::Micros>(random_.between(20, 200)) * core::kSecond;
     settings.spill_hold = static_cast<core::Micros>(random_.between(1, 20)) * core::kSecond;
-    merge_.configure(now_, settings, sources(random_.below(8)));
+    merger_.configure(now_, settings, sources(random_.below(8)));
   }
 
-  std::string some_dns_source() { return kDnsSources[random_.below(kDnsSources.size())]; }
+  std::string random_dns_source() { return kDnsSources[random_.below(kDnsSources.size())]; }
 
   core::EndpointListUpdate next_list() {
-    if (random_.one_in(30)) version_ = static_cast<std::uint32_t>(random_.below(version_ + 1));  // set back
+    if (random_.one_in(30))
+      version_ = static_cast<std::uint32_t>(random_.below(version_ + 1));  // the version goes back
     ++version_;
     const std::uint64_t kind = random_.below(8);
-    if (kind == 0) return on_endpoint_list_update(policy::ListKind::full, random_.between(4, kAddresses));
-    if (kind == 1) return on_endpoint_list_update(policy::ListKind::cached, random_.between(4, kAddresses));
-    return on_endpoint_list_update(policy::ListKind::delta, random_.between(1, 4));
+    if (kind == 0) return list_update(policy::ListKind::full, random_.between(4, kAddresses));
+    if (kind == 1) return list_update(policy::ListKind::cached, random_.between(4, kAddresses));
+    return list_update(policy::ListKind::delta, random_.between(1, 4));
   }
 
-  core::EndpointListUpdate on_endpoint_list_update(policy::ListKind kind, std::uint64_t entries) {
-    core::EndpointListUpdate news;
-    news.kind = kind;
-    news.version = version_;
-    for (std::uint64_t i = 0; i < entries; ++i) news.entries.push_back(list_entry(kind));
-    if (random_.one_in(20)) news.unreadable.push_back(random_.between(1, kAddresses));
-    return news;
+  core::EndpointListUpdate list_update(policy::ListKind kind, std::uint64_t entries) {
+    core::EndpointListUpdate update;
+    update.kind = kind;
+    update.version = version_;
+    for (std::uint64_t i = 0; i < entries; ++i) update.entries.push_back(list_entry(kind));
+    if (random_.one_in(20)) update.unreadable.push_back(random_.between(1, kAddresses));
+    return update;
   }
 
   core::Endpoint list_entry(policy::ListKind kind) {
     core::Endpoint entry;
     entry.replica.id = random_.between(1, kAddresses);
-    // Now and then an id that moves to another address.
+    // Sometimes an id moves to another address.
     entry.address = address(random_.one_in(25) ? random_.between(1, kAddresses) : entry.replica.id);
     entry.replica.zone = static_cast<std::uint32_t>(random_.below(3));
     entry.replica.kind = static_cast<std::uint32_t>(random_.below(2));
@@ -286,62 +288,63 @@
     return entry;
   }
 
-  endpoint_sources::DnsFacts dns_answer() {
-    endpoint_sources::DnsFacts facts;
-    if (random_.one_in(15)) return facts;  // names nobody
-    const std::uint64_t left_out = random_.one_in(8) ? 2 : 12;
+  endpoint_sources::ResolvedAddresses dns_answer() {
+    endpoint_sources::ResolvedAddresses answer;
+    if (random_.one_in(15)) return answer;  // an empty answer
+    const std::uint64_t one_missing_in = random_.one_in(8) ? 2 : 12;
     for (std::uint64_t n = 1; n < kAddresses; n += random_.between(1, 4)) {
-      if (random_.one_in(left_out)) continue;
-      facts.named.push_back({address(n), "h" + std::to_string(n) + ".",
-                             static_cast<std::uint16_t>(random_.one_in(3) ? 10 : 0),
-                             static_cast<std::uint16_t>(random_.below(5))});
+      if (random_.one_in(one_missing_in)) continue;
+      answer.named.push_back({address(n), "h" + std::to_string(n) + ".",
+                              static_cast<std::uint16_t>(random_.one_in(3) ? 10 : 0),
+                              static_cast<std::uint16_t>(random_.below(5))});
     }
     if (random_.one_in(10))
-      facts.unresolved.push_back("h" + std::to_string(random_.between(1, kAddresses)) + ".");
-    if (random_.one_in(3)) facts.fingerprint = random_.between(1, 4);
-    return facts;
+      answer.unresolved.push_back("h" + std::to_string(random_.between(1, kAddresses)) + ".");
+    if (random_.one_in(3)) answer.fingerprint = random_.between(1, 4);
+    return answer;
   }
 
-  // ---- all that the merge answers
+  // ---- outputs of the merge
 
   void record() {
     hash_.add_integer(static_cast<std::uint64_t>(now_));
-    const auto changes = merge_.changes();
+    const auto changes = merger_.take_changes();
     hash_.add_integer(changes.has_value());
     if (changes) add(*changes);
-    for (const auto& [at, verdict] : merge_.verdicts()) {
-      hash_.add_text(at);
+    for (const auto& [verdict_address, verdict] : merger_.verdicts()) {
+      hash_.add_text(verdict_address);
       add(verdict.endpoint);
       hash_.add_integer(static_cast<std::uint64_t>(verdict.clause));
       hash_.add_text(verdict.source);
       hash_.add_integer(verdict.priority);
     }
-    for (const auto& [priority, part] : merge_.shares()) {
+    for (const auto& [priority, share] : merger_.traffic_shares()) {
       hash_.add_integer(priority);
-      hash_.add_double(part);
+      hash_.add_double(share);
     }
-    hash_.add_integer(static_cast<std::uint64_t>(merge_.next_timer()));
+    hash_.add_integer(static_cast<std::uint64_t>(merger_.next_timer()));
     record_sources();
   }
 
   void record_sources() {
-    hash_.add_integer(merge_.answered());
-    hash_.add_integer(merge_.all_failed());
-    for (const std::string& name : merge_.to_confirm(now_)) hash_.add_text(name);
-    for (const endpoint_sources::SourceStatus& source : merge_.status(now_)) {
+    hash_.add_integer(merger_.any_answered());
+    hash_.add_integer(merger_.all_failed());
+    for (const std::string& name : merger_.names_to_confirm(now_)) hash_.add_text(name);
+    for (const endpoint_sources::SourceStatus& source : merger_.status(now_)) {
       hash_.add_text(source.name);
       hash_.add_integer(static_cast<std::uint64_t>(source.age));
       hash_.add_integer(source.names);
-      for (const std::uint64_t n : {source.answers, source.failures, source.doubts}) hash_.add_integer(n);
+      for (const std::uint64_t n : {source.answers, source.failures, source.unconfirmed_removals})
+        hash_.add_integer(n);
     }
   }
 
-  void add(const core::EndpointListUpdate& news) {
-    hash_.add_integer(static_cast<std::uint64_t>(news.kind));
-    hash_.add_integer(news.version);
-    hash_.add_integer(news.entries.size());
-    for (const core::Endpoint& entry : news.entries) add(entry);
-    for (const core::ReplicaId id : news.unreadable) hash_.add_integer(id);
+  void add(const core::EndpointListUpdate& update) {
+    hash_.add_integer(static_cast<std::uint64_t>(update.kind));
+    hash_.add_integer(update.version);
+    hash_.add_integer(update.entries.size());
+    for (const core::Endpoint& entry : update.entries) add(entry);
+    for (const core::ReplicaId id : update.unreadable) hash_.add_integer(id);
   }
 
   void add(const core::Endpoint& endpoint) {
@@ -355,7 +358,7 @@
   }
 
   EventRandom random_;
-  EndpointMerger merge_{endpoint_sources::Settings{}, sources(3)};
+  EndpointMerger merger_{endpoint_sources::Settings{}, sources(3)};
   core::Micros now_ = 100 * core::kSecond;
   std::uint32_t version_ = 1;
   FnvHash hash_;
@@ -367,30 +370,30 @@
 TEST(MembershipRecording, FirstStreamOfEvents) { EXPECT_EQ(MergeRecorder(21).play(), kMergeSeed21); }
 TEST(MembershipRecording, SecondStreamOfEvents) { EXPECT_EQ(MergeRecorder(22).play(), kMergeSeed22); }
 
-// ---- what is heard of replicas, which the simulated fleets do not exchange
+// ---- health gossip, which the simulated fleets do not exchange
 
 constexpr std::uint64_t kReplicas = 12;
 constexpr std::uint64_t kRouters = 6;
-constexpr int kJudgements = 4000;
+constexpr int kHealthEvents = 4000;
 
-// Several routers see the same replicas fail and serve, and tell the first one.
-class HearsayRecorder {
+// Several routers observe the same replicas fail and serve, and send their observations to the first one.
+class HealthGossipRecorder {
  public:
-  explicit HearsayRecorder(std::uint64_t seed)
+  explicit HealthGossipRecorder(std::uint64_t seed)
       : random_(seed), routers_(kRouters, shared::HealthObserver(settings())) {
     for (std::uint64_t replica = 1; replica <= kReplicas; ++replica) ready_.insert(replica);
   }
 
   std::uint64_t play() {
-    for (int i = 0; i < kJudgements; ++i) {
+    for (int i = 0; i < kHealthEvents; ++i) {
       now_ += static_cast<core::Micros>(random_.below(80'000));
       one_event(routers_[random_.below(kRouters)]);
-      if (random_.one_in(3)) tell(random_.below(kRouters));
-      if (random_.one_in(4)) act();
+      if (random_.one_in(3)) send_observations(random_.below(kRouters));
+      if (random_.one_in(4)) summarize_and_eject();
     }
     return hash_.value();
   }
-  std::size_t warnings() const { return warnings_; }
+  std::size_t ejections() const { return ejections_; }
 
  private:
   static shared::Settings settings() {
@@ -406,59 +409,59 @@
     router.on_attempt_ended(now_, replica, random_.one_in(30) ? failure() : policy::Outcome::ok);
   }
 
-  // Replicas of low numbers fail by turns, each for some seconds.
+  // Replicas 1 to 4 alternate between failing and serving, 7 s each.
   bool fails(std::uint64_t replica) const {
     return replica <= 4 && (now_ / (7 * core::kSecond) + static_cast<core::Micros>(replica)) % 2 == 0;
   }
 
   policy::Outcome failure() { return static_cast<policy::Outcome>(random_.below(8)); }
 
-  void tell(std::uint64_t router) {
+  void send_observations(std::uint64_t router) {
     hash_.add_integer(routers_[router].take_changed());
-    coordination::HealthObservations seen;
-    seen.set_name("r" + std::to_string(router));
-    seen.set_birth(1);
-    seen.set_site(router % 2 == 0 ? "north" : "south");
-    seen.set_version(++version_);
-    for (const coordination::ReplicaObservation& word : routers_[router].observations(now_)) {
-      *seen.add_cases() = word;
-      hash_.add_text(word.SerializeAsString());
+    coordination::HealthObservations observations;
+    observations.set_name("r" + std::to_string(router));
+    observations.set_birth(1);
+    observations.set_site(router % 2 == 0 ? "north" : "south");
+    observations.set_version(++version_);
+    for (const coordination::ReplicaObservation& observation : routers_[router].observations(now_)) {
+      *observations.add_cases() = observation;
+      hash_.add_text(observation.SerializeAsString());
     }
-    heard_.merge(now_, seen, static_cast<core::Micros>(random_.below(300'000)), 0);
+    received_.merge(now_, observations, static_cast<core::Micros>(random_.below(300'000)), 0);
   }
 
-  void act() {
-    const auto opinions = shared::summarize_health(now_, settings_, heard_, "r0");
-    for (const shared::ReplicaHealthSummary& opinion : opinions) {
-      hash_.add_integer(opinion.replica);
-      for (const std::uint32_t n : {opinion.bad, opinion.good, opinion.sites}) hash_.add_integer(n);
-      hash_.add_integer(static_cast<std::uint64_t>(opinion.age));
+  void summarize_and_eject() {
+    const auto summaries = shared::summarize_health(now_, settings_, received_, "r0");
+    for (const shared::ReplicaHealthSummary& summary : summaries) {
+      hash_.add_integer(summary.replica);
+      for (const std::uint32_t n : {summary.bad, summary.good, summary.sites}) hash_.add_integer(n);
+      hash_.add_integer(static_cast<std::uint64_t>(summary.age));
     }
-    for (const auto& warning :
-         shared::EjectionPolicy(settings_).ejections(now_, opinions, ready_, routers_[0], {kRouters, 2})) {
-      ++warnings_;
-      hash_.add_integer(warning.replica);
-      hash_.add_integer(static_cast<std::uint64_t>(warning.span));
+    for (const auto& ejection :
+         shared::EjectionPolicy(settings_).ejections(now_, summaries, ready_, routers_[0], {kRouters, 2})) {
+      ++ejections_;
+      hash_.add_integer(ejection.replica);
+      hash_.add_integer(static_cast<std::uint64_t>(ejection.span));
     }
   }
 
   EventRandom random_;
   shared::Settings settings_ = settings();
   std::vector<shared::HealthObserver> routers_;
-  shared::VersionedTable<coordination::HealthObservations> heard_{kRouters};
+  shared::VersionedTable<coordination::HealthObservations> received_{kRouters};
   std::set<core::ReplicaId> ready_;
   core::Micros now_ = 100 * core::kSecond;
   std::uint64_t version_ = 0;
-  std::size_t warnings_ = 0;
+  std::size_t ejections_ = 0;
   FnvHash hash_;
 };
 
-constexpr std::uint64_t kHearsaySeed31 = 0x2476663fb88aa5c3u;
+constexpr std::uint64_t kHealthGossipSeed31 = 0x2476663fb88aa5c3u;
 
-TEST(HearsayRecording, WordsAndWarnings) {
-  HearsayRecorder recorder(31);
-  EXPECT_EQ(recorder.play(), kHearsaySeed31);
-  EXPECT_GT(recorder.warnings(), 0u);
+TEST(HealthGossipRecording, ObservationsAndEjections) {
+  HealthGossipRecorder recorder(31);
+  EXPECT_EQ(recorder.play(), kHealthGossipSeed31);
+  EXPECT_GT(recorder.ejections(), 0u);
 }
 
 }  // namespace
