--- a/src/discovery/boot_clock.h
+++ b/src/discovery/boot_clock.h
@@ -1,12 +1,11 @@
-// When replicas started, on the monotonic clock. Discovery tells Unix times, and the wall clock of this
-// machine may be stepped, before the router's start or after it: so it is read once, and put right by what
-// lists prove.
-//   - Nothing has started in the future: a start that would be tells that the wall clock was behind.
-//   - A replica that is listed with a new start has started since the list before, or a little earlier, as
-//   far
-//     as lists may be late: a start long before that tells that the wall clock was ahead.
-// A start that was told once keeps its time, however the clock is put right later: a time that changes would
-// pass for another start.
+// Converts the start times of replicas to the monotonic clock. Discovery gives them in Unix time, and the
+// wall clock of this machine may be stepped before or after the router's start. So the offset between the two
+// clocks is read once, at the start, and corrected by what the lists prove:
+//   - No replica has started in the future. If a start time would be, the wall clock was behind.
+//   - A replica that is listed with a new start time has restarted since the previous list, or at most
+//     kListLag earlier. If its start time would be older than that, the wall clock was ahead.
+// A start time that was converted once keeps its result when the offset is corrected later, as a changed
+// start time means a restart.
 #pragma once
 
 #include <unordered_map>
@@ -17,20 +16,19 @@
 
 class BootClock {
  public:
-  // No list is older than this, however far discovery has fallen behind.
+  // The maximum age of a list, even when discovery lags.
   static constexpr core::Micros kListLag = 30 * core::kSecond;
 
-  // unix_to_monotonic: added to Unix time it gives the monotonic clock's, as the wall clock has it at the
-  // start.
+  // unix_to_monotonic: monotonic time minus Unix time, read at the start.
   explicit BootClock(core::Micros unix_to_monotonic) : offset_(unix_to_monotonic) {}
 
-  // A list has come: the start times of its entries, seconds of Unix time, become those of the monotonic
-  // clock.
-  void put_right(core::Micros now, core::EndpointListUpdate& news);
-  // The list that the router knew at its start, which may be of any age: it proves nothing of later starts.
-  void known(core::Micros now, core::EndpointListUpdate& news);
-  // Word from discovery that brought no list: what is held is as new as that.
-  void heard(core::Micros now) { heard_ = now; }
+  // Converts the start times of a received list from seconds of Unix time to seconds of the monotonic clock.
+  void put_right(core::Micros now, core::EndpointListUpdate& update);
+  // The same for the list cached before the router's start. It may have any age, so it does not count
+  // as the previous list in the rule above.
+  void known(core::Micros now, core::EndpointListUpdate& update);
+  // Discovery sent data: the list held was still current at this time.
+  void heard(core::Micros now) { last_received_ = now; }
 
  private:
   struct Start {
@@ -39,7 +37,7 @@
   core::Micros monotonic(core::Micros now, core::ReplicaId id, core::Micros unix_time);
 
   core::Micros offset_;
-  core::Micros heard_ = core::kNever;                  // the last word from discovery; kNever: none yet
+  core::Micros last_received_ = core::kNever;          // when discovery last sent data; kNever: not yet
   std::unordered_map<core::ReplicaId, Start> starts_;  // the latest known start of each replica
 };
 
--- a/src/discovery/documents.cpp
+++ b/src/discovery/documents.cpp
@@ -12,55 +12,56 @@
 
 }  // namespace
 
-JsonFollower::Step JsonFollower::open(char bracket) {
-  if (next_ != Next::value && next_ != Next::value_or_close) return Step::wrong;
-  if (open_.size() >= kDeepest) return Step::wrong;
-  open_.push_back(bracket);
-  next_ = bracket == '{' ? Next::key_or_close : Next::value_or_close;
-  return Step::more;
+JsonScanner::Result JsonScanner::open(char bracket) {
+  if (expected_ != Expected::value && expected_ != Expected::value_or_close) return Result::malformed;
+  if (open_brackets_.size() >= kMaxDepth) return Result::malformed;
+  open_brackets_.push_back(bracket);
+  expected_ = bracket == '{' ? Expected::key_or_close : Expected::value_or_close;
+  return Result::incomplete;
 }
 
-JsonFollower::Step JsonFollower::close(char bracket) {
-  const bool fits = !open_.empty() && open_.back() == (bracket == '}' ? '{' : '[');
-  const bool may_end =
-      next_ == Next::comma_or_close || next_ == Next::key_or_close || next_ == Next::value_or_close;
-  if (!fits || !may_end) return Step::wrong;
-  open_.pop_back();
+JsonScanner::Result JsonScanner::close(char bracket) {
+  const bool matches = !open_brackets_.empty() && open_brackets_.back() == (bracket == '}' ? '{' : '[');
+  const bool may_end = expected_ == Expected::comma_or_close || expected_ == Expected::key_or_close ||
+                       expected_ == Expected::value_or_close;
+  if (!matches || !may_end) return Result::malformed;
+  open_brackets_.pop_back();
   return end_value();
 }
 
-JsonFollower::Step JsonFollower::end_value() {
-  next_ = Next::comma_or_close;
-  return open_.empty() ? Step::whole : Step::more;
+JsonScanner::Result JsonScanner::end_value() {
+  expected_ = Expected::comma_or_close;
+  return open_brackets_.empty() ? Result::complete : Result::incomplete;
 }
 
-JsonFollower::Step JsonFollower::begin_string() {
-  if (next_ == Next::colon || next_ == Next::comma_or_close) return Step::wrong;
+JsonScanner::Result JsonScanner::begin_string() {
+  if (expected_ == Expected::colon || expected_ == Expected::comma_or_close) return Result::malformed;
   in_string_ = true;
-  return Step::more;
+  return Result::incomplete;
 }
 
-JsonFollower::Step JsonFollower::follow_string(char c) {
-  if (static_cast<unsigned char>(c) < 0x20) return Step::wrong;  // a line that was torn within a string
-  if (std::exchange(escaped_, false)) return Step::more;
+JsonScanner::Result JsonScanner::scan_string(char c) {
+  if (static_cast<unsigned char>(c) < 0x20)
+    return Result::malformed;  // a line break within a string: the document was cut off
+  if (std::exchange(escaped_, false)) return Result::incomplete;
   if (c == '\\') escaped_ = true;
-  if (c != '"') return Step::more;
+  if (c != '"') return Result::incomplete;
   in_string_ = false;
-  if (next_ != Next::key && next_ != Next::key_or_close) return end_value();
-  next_ = Next::colon;
-  return Step::more;
+  if (expected_ != Expected::key && expected_ != Expected::key_or_close) return end_value();
+  expected_ = Expected::colon;
+  return Result::incomplete;
 }
 
-JsonFollower::Step JsonFollower::follow(char c) {
-  if (in_string_) return follow_string(c);
+JsonScanner::Result JsonScanner::scan(char c) {
+  if (in_string_) return scan_string(c);
   if (is_scalar(c)) {
-    if (in_scalar_) return Step::more;
-    if (next_ != Next::value && next_ != Next::value_or_close) return Step::wrong;
+    if (in_scalar_) return Result::incomplete;
+    if (expected_ != Expected::value && expected_ != Expected::value_or_close) return Result::malformed;
     in_scalar_ = true;
     return end_value();
   }
   in_scalar_ = false;
-  if (is_space(c)) return Step::more;
+  if (is_space(c)) return Result::incomplete;
   switch (c) {
     case '{':
     case '[':
@@ -71,34 +72,34 @@
     case '"':
       return begin_string();
     case ':':
-      if (next_ != Next::colon) return Step::wrong;
-      next_ = Next::value;
-      return Step::more;
+      if (expected_ != Expected::colon) return Result::malformed;
+      expected_ = Expected::value;
+      return Result::incomplete;
     case ',':
-      if (next_ != Next::comma_or_close) return Step::wrong;
-      next_ = open_.back() == '{' ? Next::key : Next::value;
-      return Step::more;
+      if (expected_ != Expected::comma_or_close) return Result::malformed;
+      expected_ = open_brackets_.back() == '{' ? Expected::key : Expected::value;
+      return Result::incomplete;
     default:
-      return Step::wrong;
+      return Result::malformed;
   }
 }
 
 std::optional<std::string> Documents::next() {
-  if (wrong_) return std::nullopt;
-  if (followed_ == 0) {
+  if (malformed_) return std::nullopt;
+  if (scanned_ == 0) {
     std::size_t blank = 0;
     while (blank < bytes_.size() && is_space(bytes_[blank])) ++blank;
     bytes_.erase(0, blank);
-    if (!bytes_.empty() && bytes_.front() != '{') wrong_ = true;  // a list is an object
+    if (!bytes_.empty() && bytes_.front() != '{') malformed_ = true;  // an endpoint list is a JSON object
   }
-  while (!wrong_ && followed_ < bytes_.size()) {
-    const JsonFollower::Step step = follower_.follow(bytes_[followed_++]);
-    if (step == JsonFollower::Step::wrong) wrong_ = true;
-    if (step != JsonFollower::Step::whole) continue;
-    std::string document = bytes_.substr(0, followed_);
-    bytes_.erase(0, followed_);
-    followed_ = 0;
-    follower_ = {};
+  while (!malformed_ && scanned_ < bytes_.size()) {
+    const JsonScanner::Result result = scanner_.scan(bytes_[scanned_++]);
+    if (result == JsonScanner::Result::malformed) malformed_ = true;
+    if (result != JsonScanner::Result::complete) continue;
+    std::string document = bytes_.substr(0, scanned_);
+    bytes_.erase(0, scanned_);
+    scanned_ = 0;
+    scanner_ = {};
     return document;
   }
   return std::nullopt;
--- a/src/discovery/documents.h
+++ b/src/discovery/documents.h
@@ -1,5 +1,5 @@
-// Splits what discovery sends into its JSON documents, whatever the pieces that it comes in. A list may come
-// on one line or indented over many: it ends with the bracket that closes it.
+// Splits the byte stream from discovery into JSON documents, independently of how the bytes are chunked. A
+// list may be on one line or indented over several lines, so a document ends with its closing bracket.
 #pragma once
 
 #include <cstdint>
@@ -10,45 +10,45 @@
 
 namespace flintglade::discovery {
 
-// Follows one JSON text byte by byte, as far as telling its end and its faults needs: brackets, strings, and
-// what may follow what. Scalars are not looked at closely; whoever reads the whole document does that.
-class JsonFollower {
+// Scans one JSON text byte by byte to find its end and syntax errors in brackets, strings and the order of
+// tokens. Scalars are not checked; the parser of the complete document does that.
+class JsonScanner {
  public:
-  enum class Step : std::uint8_t { more, whole, wrong };
-  Step follow(char c);
+  enum class Result : std::uint8_t { incomplete, complete, malformed };
+  Result scan(char c);
 
  private:
-  enum class Next : std::uint8_t { value, value_or_close, key, key_or_close, colon, comma_or_close };
-  static constexpr std::size_t kDeepest = 32;
-  Step open(char bracket);
-  Step close(char bracket);
-  Step end_value();
-  Step follow_string(char c);
-  Step begin_string();
-
-  std::vector<char> open_;  // the brackets that are open
-  Next next_ = Next::value;
+  enum class Expected : std::uint8_t { value, value_or_close, key, key_or_close, colon, comma_or_close };
+  static constexpr std::size_t kMaxDepth = 32;
+  Result open(char bracket);
+  Result close(char bracket);
+  Result end_value();
+  Result scan_string(char c);
+  Result begin_string();
+
+  std::vector<char> open_brackets_;
+  Expected expected_ = Expected::value;
   bool in_string_ = false, escaped_ = false, in_scalar_ = false;
 };
 
 class Documents {
  public:
-  // A document longer than this has gone wrong: some 4,000 entries, indented; read, it takes ten times its
-  // size.
+  // A longer document is treated as malformed. Enough for about 4,000 entries, indented; a parsed document
+  // takes ten times its size.
   static constexpr std::size_t kLongest = 2u << 20;
 
   void add(std::string_view bytes) { bytes_.append(bytes); }
-  // The next whole document; nothing if more bytes are needed, or if what came is none: see wrong().
+  // The next complete document; nullopt if more bytes are needed or the stream is malformed: see wrong().
   std::optional<std::string> next();
-  // A document has begun and has not ended.
-  bool begun() const { return followed_ > 0; }
-  bool wrong() const { return wrong_ || bytes_.size() > kLongest; }
+  // Whether a document has begun and not ended.
+  bool begun() const { return scanned_ > 0; }
+  bool wrong() const { return malformed_ || bytes_.size() > kLongest; }
 
  private:
-  std::string bytes_;         // from the first byte of a document on
-  std::size_t followed_ = 0;  // of them, those that the follower has seen
-  JsonFollower follower_;
-  bool wrong_ = false;
+  std::string bytes_;        // from the first byte of the current document on
+  std::size_t scanned_ = 0;  // how many of them the scanner has consumed
+  JsonScanner scanner_;
+  bool malformed_ = false;
 };
 
 }  // namespace flintglade::discovery
--- a/src/discovery/entries.h
+++ b/src/discovery/entries.h
@@ -1,4 +1,4 @@
-// Discovery's JSON to the core's list news, checked here.
+// Parses and checks discovery's JSON lists.
 #pragma once
 
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace flintglade::discovery {
 
-struct Names {  // what the settings call zones and kinds of machine; a replica has their position
+struct Names {  // the zones and machine kinds in the settings; a replica has their indexes
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
 };
 
-// A replica's id is made of its uid alone, so that it is the same on every router and after a restart.
+// Derives a replica's id from its uid alone, so that it is the same on every router and after a restart.
 core::ReplicaId replica_id(std::string_view uid);
 
-// More entries than this are no list of a fleet but something else, and would cost the router its memory.
+// A list with more entries is rejected: it is not a plausible fleet and would exhaust the router's memory.
 inline constexpr std::size_t kMostEntries = 4096;
 
-// False: not a list in discovery's form. Entries without a uid, a usable address or a known state are left
-// out; those that have a uid at least are named in out.unreadable. Start times are Unix time as told:
-// BootClock makes them the router's.
+// Returns false if the JSON is not a list in discovery's format. Entries without a uid, an address or a known
+// state are omitted; out.unreadable has the ids of those with a uid. Start times stay in Unix time; BootClock
+// converts them.
 bool parse_list(std::string_view json, const Names& names, core::EndpointListUpdate& out);
 
 }  // namespace flintglade::discovery
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -19,43 +19,46 @@
 
 class Watch::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Watch& owner) : owner_(&owner), socket_(owner.io_), silence_(owner.io_) {
+  Session(Watch& owner) : owner_(&owner), socket_(owner.io_), silence_timer_(owner.io_) {
     parser_.eager(true);
     parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
   }
 
   void start() {
     error_code ec;
-    const auto address = asio::ip::make_address(owner_->at_.host, ec);
-    if (ec) return fail("its address cannot be used");
+    const auto ip_address = asio::ip::make_address(owner_->address_.host, ec);
+    if (ec) return fail("\"" + owner_->address_.host + "\" is not an IP address");
     request_ = "GET /v1/endpoints?stream=1";
     if (owner_->have_list_) request_ += "&index=" + std::to_string(owner_->version_);
     request_ += " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n";
-    expect_within(owner_->silence_.first);
-    socket_.async_connect({address, owner_->at_.port}, [self = shared_from_this()](error_code failed) {
-      if (failed) return self->fail("cannot connect: " + failed.message());
-      if (self->owner_ == nullptr) return;
-      net::write_all(self->socket_, {asio::buffer(self->request_)}, [self](error_code wrong) {
-        wrong ? self->fail("cannot ask: " + wrong.message()) : self->read();
-      });
-    });
+    restart_silence_timer(owner_->silence_.first);
+    socket_.async_connect(
+        {ip_address, owner_->address_.port}, [self = shared_from_this()](error_code connect_error) {
+          if (connect_error) return self->fail("cannot connect: " + connect_error.message());
+          if (self->owner_ == nullptr) return;
+          net::write_all(self->socket_, {asio::buffer(self->request_)}, [self](error_code write_error) {
+            write_error ? self->fail("sending the request failed: " + write_error.message()) : self->read();
+          });
+        });
   }
 
   void stop() {
     owner_ = nullptr;
     error_code ignored;
-    silence_.cancel();
+    silence_timer_.cancel();
     socket_.close(ignored);
   }
 
  private:
-  void expect_within(core::Micros span) {
-    silence_.expires_after(std::chrono::microseconds(span));
-    silence_.async_wait([self = shared_from_this()](error_code ec) {
-      // A wait whose end crossed the arrival of bytes is not cancelled any more: the span has been set anew.
-      const bool set_anew = self->silence_.expiry() > std::chrono::steady_clock::now();
-      if (!ec && !set_anew)
-        self->fail(self->documents_.begun() ? "a list that does not end" : "silent for too long");
+  void restart_silence_timer(core::Micros span) {
+    silence_timer_.expires_after(std::chrono::microseconds(span));
+    silence_timer_.async_wait([self = shared_from_this(), span](error_code ec) {
+      // If bytes arrived in the event loop iteration in which the timer expired, it was restarted, but this
+      // handler can no longer be cancelled.
+      const bool restarted = self->silence_timer_.expiry() > std::chrono::steady_clock::now();
+      if (!ec && !restarted)
+        self->fail(std::string(self->documents_.begun() ? "a list was not completed" : "no data received") +
+                   " within " + std::to_string(span / core::kMilli) + " ms");
     });
   }
 
@@ -63,129 +66,132 @@
     if (owner_ == nullptr) return;
     socket_.async_read_some(buffer_.prepare(16384),
                             [self = shared_from_this()](error_code ec, std::size_t n) {
-                              if (ec) return self->fail("the watch ended: " + ec.message());
+                              if (ec) return self->fail("reading failed: " + ec.message());
                               self->buffer_.commit(n);
-                              self->take();
+                              self->process_received();
                             });
   }
 
-  void take() {
+  void process_received() {
     if (owner_ == nullptr) return;
     error_code ec;
     while (buffer_.size() > 0 && !parser_.is_done()) {
       const std::size_t used = parser_.put(buffer_.data(), ec);
       buffer_.consume(used);
       if (ec == http::error::need_more) break;
-      if (ec) return fail("not HTTP: " + ec.message());
+      if (ec) return fail("malformed HTTP response: " + ec.message());
     }
     if (parser_.is_header_done()) {
       if (parser_.get().result() != http::status::ok)
-        return fail("status " + std::to_string(parser_.get().result_int()));
-      owner_->boots_.heard(owner_->clock_.now());
-      bool onward =
-          !documents_.begun();  // the span counts from the last list's end, or the next one's beginning
+        return fail("HTTP status " + std::to_string(parser_.get().result_int()));
+      owner_->boot_clock_.heard(owner_->clock_.now());
+      // The time-out restarts when a list ends and when the next one begins.
+      bool restart_timer = !documents_.begun();
       documents_.add(std::exchange(parser_.get().body(), {}));
       while (const std::optional<std::string> document = documents_.next()) {
-        if (!pass_on(*document)) return;
-        onward = true;
+        if (!apply_document(*document)) return;
+        restart_timer = true;
       }
-      if (documents_.wrong()) return fail("bytes that are no list");
-      // A list that was torn may look like one that goes on: it has as long to its end as a silent watch.
-      if (onward || !documents_.begun()) expect_within(owner_->silence_.open);
+      if (documents_.wrong())
+        return fail("received bytes that are not a JSON object of at most " +
+                    std::to_string(Documents::kLongest) + " bytes");
+      // Further bytes of one list do not restart the time-out: a list that was cut off could otherwise look
+      // like one that continues for ever.
+      if (restart_timer || !documents_.begun()) restart_silence_timer(owner_->silence_.open);
     }
-    if (parser_.is_done()) return fail("the watch ended");  // it lasts until its connection ends
+    if (parser_.is_done()) return fail("discovery ended the response");  // a watch normally has no end
     read();
   }
 
-  // False: the session is over.
-  bool pass_on(const std::string& document) {
-    const std::uint32_t before = owner_->version();
-    if (!owner_->take(document)) {
-      fail("a line that is no list");
+  // Returns false if the session has ended.
+  bool apply_document(const std::string& document) {
+    const std::uint32_t version_before = owner_->version();
+    if (!owner_->apply(document)) {
+      fail("received JSON that is not an endpoint list");
       return false;
     }
     if (owner_ == nullptr) return false;
-    if (owner_->on_line_ && owner_->version() != before)
-      owner_->on_line_(owner_->last_was_whole_ ? 0 : before, owner_->version(), document);
+    if (owner_->on_line_ && owner_->version() != version_before)
+      owner_->on_line_(owner_->last_was_full_ ? 0 : version_before, owner_->version(), document);
     return owner_ != nullptr;
   }
 
   void fail(std::string why) {
     if (owner_ == nullptr) return;
     log::event(log::Level::warn, "endpoint_list_failed",
-               {{"at", config::host_port(owner_->at_.host, owner_->at_.port)}, {"why", why}});
+               {{"at", config::host_port(owner_->address_.host, owner_->address_.port)}, {"why", why}});
     owner_->last_error_ = std::move(why);
     Watch* owner = owner_;
     stop();
     owner->session_.reset();
-    owner->tell_({});  // a failure: the list held stays in force
+    owner->tell_({});  // reports the failure; the list held stays in force
   }
 
-  Watch* owner_;  // empty once stopped
+  Watch* owner_;  // null once stopped
   tcp::socket socket_;
-  asio::steady_timer silence_;
+  asio::steady_timer silence_timer_;
   std::string request_;
   boost::beast::flat_buffer buffer_;
   http::response_parser<http::string_body> parser_;
   Documents documents_;
 };
 
-bool Watch::take(std::string_view text) {
-  core::EndpointListUpdate news;
-  if (!parse_list(text, names_, news)) return false;
-  boots_.put_right(clock_.now(), news);
-  if (news.kind == policy::ListKind::delta && have_list_ && news.version < version_) {
-    // Late or repeated: what it tells has been overtaken by what is held.
-    log::event(log::Level::warn, "endpoint_list_out_of_order", {{"rev", news.version}, {"held", version_}});
+bool Watch::apply(std::string_view text) {
+  core::EndpointListUpdate update;
+  if (!parse_list(text, names_, update)) return false;
+  boot_clock_.put_right(clock_.now(), update);
+  if (update.kind == policy::ListKind::delta && have_list_ && update.version < version_) {
+    // Late or repeated: the list held is newer.
+    log::event(log::Level::warn, "endpoint_list_out_of_order", {{"rev", update.version}, {"held", version_}});
     return true;
   }
-  if (!news.unreadable.empty())
+  if (!update.unreadable.empty())
     log::event(log::Level::warn, "endpoint_entries_unreadable",
-               {{"entries", news.unreadable.size()}, {"in_force", "what was held of them"}});
-  version_ = news.version;
-  last_was_whole_ = news.kind != policy::ListKind::delta;
+               {{"entries", update.unreadable.size()}, {"in_force", "their previous entries"}});
+  version_ = update.version;
+  last_was_full_ = update.kind != policy::ListKind::delta;
   have_list_ = true;
   last_error_.clear();
-  tell_(std::move(news));
+  tell_(std::move(update));
   return true;
 }
 
-Watch::Watch(asio::io_context& io, core::Clock& clock, config::HostPort at, Names names, BootClock boots,
-             Silence silence)
+Watch::Watch(asio::io_context& io, core::Clock& clock, config::HostPort address, Names names,
+             BootClock boot_clock, Silence silence)
     : io_(io),
       clock_(clock),
-      at_(std::move(at)),
+      address_(std::move(address)),
       names_(std::move(names)),
-      boots_(std::move(boots)),
+      boot_clock_(std::move(boot_clock)),
       silence_(silence) {}
 Watch::~Watch() { subscribe(false); }
 
 void Watch::known(const std::string& json) {
-  core::EndpointListUpdate news;
-  if (!json.empty() && parse_list(json, names_, news)) {
-    boots_.known(clock_.now(), news);
-    version_ = news.version;
+  core::EndpointListUpdate update;
+  if (!json.empty() && parse_list(json, names_, update)) {
+    boot_clock_.known(clock_.now(), update);
+    version_ = update.version;
     have_list_ = true;
   }
-  // Told even where nothing is known: it is on this word that the module first asks for the list.
-  news.kind = policy::ListKind::cached;
-  tell_(std::move(news));
+  // Delivered even if empty: this update makes the module request the list for the first time.
+  update.kind = policy::ListKind::cached;
+  tell_(std::move(update));
 }
 
 std::string Watch::status() const {
-  const std::string where = config::host_port(at_.host, at_.port);
-  return last_error_.empty() ? where + " has answered" : where + ": " + last_error_;
+  const std::string address = config::host_port(address_.host, address_.port);
+  return last_error_.empty() ? address + " has answered" : address + ": " + last_error_;
 }
 
 void Watch::move(config::HostPort to) {
-  if (to.host == at_.host && to.port == at_.port) return;
-  at_ = std::move(to);
-  have_list_ = false;  // another service may count its versions otherwise: the whole list is asked for
-  if (wanted_) subscribe(true);
+  if (to.host == address_.host && to.port == address_.port) return;
+  address_ = std::move(to);
+  have_list_ = false;  // another service may have other versions, so request the complete list
+  if (subscribed_) subscribe(true);
 }
 
 void Watch::subscribe(bool on) {
-  wanted_ = on;
+  subscribed_ = on;
   if (session_) {
     session_->stop();
     session_.reset();
