--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,9 +15,9 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kLargestFile = 16u << 20;
+constexpr std::size_t kMaxFileBytes = 16u << 20;
 
-std::string plain(const Json& value) {
+std::string flat_value(const Json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.is_null() ? "" : value.dump();
   for (char& c : text) {
     if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
@@ -31,7 +31,7 @@
     return;
   }
   if (!value.is_array()) {
-    out += path + "=" + plain(value) + "\n";
+    out += path + "=" + flat_value(value) + "\n";
     return;
   }
   if (std::any_of(value.begin(), value.end(), [](const Json& item) { return item.is_structured(); })) {
@@ -40,7 +40,7 @@
     return;
   }
   out += path + "=";
-  for (std::size_t i = 0; i < value.size(); ++i) out += (i > 0 ? "," : "") + plain(value[i]);
+  for (std::size_t i = 0; i < value.size(); ++i) out += (i > 0 ? "," : "") + flat_value(value[i]);
   out += "\n";
 }
 
@@ -52,21 +52,23 @@
   return "";
 }
 
-std::string read_count(const Json& root, const char* key, std::size_t least, std::size_t& out) {
+std::string read_count(const Json& root, const char* key, std::size_t min, std::size_t& out) {
   const auto it = root.find(key);
   if (it == root.end()) return "";
-  if (!it->is_number() || it->get<double>() < static_cast<double>(least) || it->get<double>() > 1e9)
-    return std::string("config: limits.") + key + " is not a number of at least " + std::to_string(least);
+  if (!it->is_number() || it->get<double>() < static_cast<double>(min) || it->get<double>() > 1e9)
+    return std::string("config: limits.") + key + " is not a number from " + std::to_string(min) +
+           " to 1000000000";
   out = static_cast<std::size_t>(it->get<double>());
   return "";
 }
 
 std::string read_seconds(const Json& settings, const char* group, const char* key, core::Micros& out) {
-  const auto g = settings.find(group);
-  if (g == settings.end() || !g->is_object() || !g->contains(key)) return "";
-  const Json& value = (*g)[key];
+  const auto section = settings.find(group);
+  if (section == settings.end() || !section->is_object() || !section->contains(key)) return "";
+  const Json& value = (*section)[key];
   if (!value.is_number() || value.get<double>() < 0.0 || value.get<double>() > 4000.0)
-    return std::string("config: settings.") + group + "." + key + " is not a number of seconds";
+    return std::string("config: settings.") + group + "." + key +
+           " is not a number of seconds from 0 to 4000";
   out = static_cast<core::Micros>(value.get<double>() * 1e6);
   return "";
 }
@@ -80,9 +82,9 @@
   }
 }
 
-// What of the file takes effect at a start only: all of it but discovery's address, the list, and the times
-// that main hands on when the file is read again.
-std::string fixed_part(Json root) {
+// The part of the file that takes effect only at a start: everything except discovery's address, the cached
+// list, the seed, and the times that a reload applies.
+std::string restart_only_part(Json root) {
   for (const char* key : {"discovery", "known", "seed"}) root.erase(key);
   for (const auto& [group, key] :
        std::initializer_list<std::pair<const char*, const char*>>{{"invariants", "drain_grace"},
@@ -95,9 +97,9 @@
   return root.dump();
 }
 
-std::string first(std::initializer_list<std::string> errors) {
-  for (const std::string& e : errors) {
-    if (!e.empty()) return e;
+std::string first_error(std::initializer_list<std::string> errors) {
+  for (const std::string& error : errors) {
+    if (!error.empty()) return error;
   }
   return "";
 }
@@ -110,14 +112,14 @@
   std::string_view host = text.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   const char* end = text.data() + text.size();
-  const auto [at, code] = std::from_chars(text.data() + colon + 1, end, out.port);
+  const auto [parsed_to, code] = std::from_chars(text.data() + colon + 1, end, out.port);
   out.host = host;
-  return code == std::errc() && at == end;
+  return code == std::errc() && parsed_to == end;
 }
 
 std::string host_port(const std::string& host, int port) {
-  const bool v6 = host.find(':') != std::string::npos;
-  return (v6 ? "[" + host + "]" : host) + ":" + std::to_string(port);
+  const bool is_ipv6 = host.find(':') != std::string::npos;
+  return (is_ipv6 ? "[" + host + "]" : host) + ":" + std::to_string(port);
 }
 
 std::string flatten(std::string_view json, std::string& error) {
@@ -135,53 +137,59 @@
   const Json root = Json::parse(json, nullptr, false);
   if (!root.is_object()) return "config: not a JSON object";
   if (root.contains("name") && root["name"].is_string()) out.name = root["name"].get<std::string>();
-  std::string error =
-      first({read_host_port(root, "listen", out.listen), read_host_port(root, "discovery", out.discovery),
-             read_host_port(root, "admin_addr", out.admin)});
+  std::string error = first_error({read_host_port(root, "listen", out.listen),
+                                   read_host_port(root, "discovery", out.discovery),
+                                   read_host_port(root, "admin_addr", out.admin)});
   if (!error.empty()) return error;
   if (const auto seed = root.find("seed"); seed != root.end()) {
     const std::string text = seed->is_string() ? seed->get<std::string>() : seed->dump();
-    const auto [at, code] = std::from_chars(text.data(), text.data() + text.size(), out.seed, 16);
-    if (code != std::errc() || at != text.data() + text.size()) return "config: seed is not a hex number";
+    const auto [parsed_to, code] = std::from_chars(text.data(), text.data() + text.size(), out.seed, 16);
+    if (code != std::errc() || parsed_to != text.data() + text.size())
+      return "config: seed is not a hexadecimal number";
   }
   if (const auto limits = root.find("limits"); limits != root.end() && limits->is_object()) {
-    error = first({read_count(*limits, "memory_mb", 32, out.memory_mb),
-                   read_count(*limits, "sockets", 64, out.sockets)});
+    error = first_error({read_count(*limits, "memory_mb", 32, out.memory_mb),
+                         read_count(*limits, "sockets", 64, out.sockets)});
     if (!error.empty()) return error;
   }
   if (root.contains("known")) out.known = root["known"].dump();
   const auto settings = root.find("settings");
-  if (settings == root.end() || !settings->is_object()) return "config: settings are missing";
+  if (settings == root.end() || !settings->is_object())
+    return "config: settings are missing or not an object";
   std::string lines;
   flatten(*settings, "", lines);
   error = policy::parse_boot_info(lines, out.module);
   if (!error.empty()) return "config: " + error;
   if (out.module.classes.empty()) return "config: settings.classes is missing or empty";
-  // Without it the module would wait for a list that nobody sends, and the router answer 503 for good.
+  // Without it the module would wait for a list that is never sent, and the router would answer every request
+  // with 503.
   if (!settings->contains("registry_mode"))
     return "config: settings.registry_mode is missing (on_request: the router asks for its list)";
-  // An agent beside the router has pushed lists, and is asked for them all the same.
-  out.module.list_on_request = true;  // on sockets nothing comes unasked, whatever the mode is called
-  out.fixed = fixed_part(root);
+  // Over sockets the list must always be requested, whatever registry_mode is: even an agent that pushes
+  // lists sends them only on request.
+  out.module.list_on_request = true;
+  out.fixed = restart_only_part(root);
   read_names(*settings, "classes", out.classes);
   read_names(*settings, "accounts", out.tenants);
   read_names(*settings, "failure_domains", out.zones);
   read_names(*settings, "models", out.kinds);
-  return first({read_seconds(*settings, "invariants", "drain_grace", out.drain_grace),
-                read_seconds(*settings, "invariants", "grace_to_answer", out.answer_grace),
-                read_seconds(*settings, "permissions", "dial_timeout", out.dial_timeout),
-                read_seconds(*settings, "permissions", "conn_idle", out.conn_idle)});
+  return first_error({read_seconds(*settings, "invariants", "drain_grace", out.drain_grace),
+                      read_seconds(*settings, "invariants", "grace_to_answer", out.answer_grace),
+                      read_seconds(*settings, "permissions", "dial_timeout", out.dial_timeout),
+                      read_seconds(*settings, "permissions", "conn_idle", out.conn_idle)});
 }
 
 namespace {
 
-std::string load(Config& out, bool again) {
+std::string load(Config& out, bool reloading) {
   const char* path = std::getenv("GW_CONFIG");
-  if (path == nullptr || *path == '\0') return "config: GW_CONFIG names no file";
+  if (path == nullptr || *path == '\0') return "config: GW_CONFIG is not set to a file";
   std::ifstream file(path, std::ios::binary);
   if (!file) return "config: " + std::string(path) + " cannot be read";
   std::string text(std::istreambuf_iterator<char>(file), {});
-  if (text.size() > kLargestFile) return "config: " + std::string(path) + " is too large";
+  if (text.size() > kMaxFileBytes)
+    return "config: " + std::string(path) + " has " + std::to_string(text.size()) + " bytes; the limit is " +
+           std::to_string(kMaxFileBytes);
   std::string error = parse(text, out);
   if (!error.empty()) return error;
   if (const char* name = std::getenv("GW_NAME")) out.name = name;
@@ -191,18 +199,19 @@
       error = std::string("config: ") + variable + " is not of the form ADDRESS:PORT";
   };
   address("GW_LISTEN", out.listen);
-  if (!again || out.discovery.host.empty()) address("GW_DISCOVERY", out.discovery);
+  if (!reloading || out.discovery.host.empty()) address("GW_DISCOVERY", out.discovery);
   if (out.admin.host.empty()) address("GW_ADMIN_ADDR", out.admin);
   if (const char* scratch = std::getenv("TMPDIR")) out.scratch = scratch;
   if (const char* fd = std::getenv("GW_ACCEPT_FD"); fd != nullptr && *fd != '\0') {
     const char* end = fd + std::strlen(fd);
-    const auto [at, code] = std::from_chars(fd, end, out.accept_fd);
-    if (code != std::errc() || at != end || out.accept_fd < 0)
-      return "config: GW_ACCEPT_FD is not the number of a descriptor";
+    const auto [parsed_to, code] = std::from_chars(fd, end, out.accept_fd);
+    if (code != std::errc() || parsed_to != end || out.accept_fd < 0)
+      return "config: GW_ACCEPT_FD is not a descriptor number: " + std::string(fd);
   }
   if (!error.empty()) return error;
-  if (out.listen.host.empty()) return "config: no address to listen on";
-  if (out.discovery.host.empty()) return "config: no address of discovery";
+  if (out.listen.host.empty()) return "config: neither listen nor GW_LISTEN sets an address to listen on";
+  if (out.discovery.host.empty())
+    return "config: neither discovery nor GW_DISCOVERY sets the address of discovery";
   return "";
 }
 
--- a/tests/recordings/fnv_hash.h
+++ b/tests/recordings/fnv_hash.h
@@ -1,6 +1,6 @@
-// FNV-1a, 64 bits: a running hash over all that a recording compares. Integers are taken lowest byte first,
-// so that the value does not depend on the machine; a text is taken with its length, so that two texts cannot
-// run into one another.
+// A running 64-bit FNV-1a hash over everything that a recording compares. Integers are added lowest byte
+// first, so that the value does not depend on the machine. A text is added with its length, so that the texts
+// "ab", "c" and the texts "a", "bc" give different values.
 #pragma once
 
 #include <bit>
--- a/tests/recordings/frozen_names_test.cpp
+++ b/tests/recordings/frozen_names_test.cpp
@@ -1,10 +1,10 @@
-// Names that operators and the platform write and read (docs/frozen-names.md): the keys of config.json, and
-// the figures of /_vars. The text names of the operator's file are checked in proto_numbers_test.cpp, the
+// Checks names that operators and the platform write and read (docs/frozen-names.md): the keys of config.json
+// and the metrics of /_vars. The names in the operator's file are checked in proto_numbers_test.cpp, the
 // command line in command_line.sh, the simulator's records in wire_test.cpp, headers and paths by the
 // scenarios.
 //
-// Recorded on the commit before the refactoring for readability. A name may be changed only with a change of
-// the interface that is meant.
+// A refactoring must not change these names. A name here changes only together with an intended change of the
+// interface.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -25,7 +25,7 @@
 
 // ---- config.json
 
-// Every key that is read, with a value that is not its default.
+// Every key that the router reads, with a value that differs from its default.
 constexpr char kEveryKey[] = R"({
   "name": "n7", "listen": "10.0.0.4:8000", "discovery": "10.2.0.1:8500", "admin_addr": "10.0.0.5:9100",
   "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 333, "sockets": 777},
@@ -136,7 +136,7 @@
 
 // ---- /_vars
 
-// All lines but those of help, whose words may change.
+// Omits the help lines, whose texts may change.
 std::string without_help(const std::string& text) {
   std::istringstream in(text);
   std::string out;
@@ -150,13 +150,13 @@
   core::Counters counters;
   counters.attempts_written = 4;
   counters.answers = {{11, 12, 13}, {21, 22, 23}};
-  admin::Metrics figures;
-  figures.counters = &counters;
-  figures.classes = {"chat", "bulk"};
-  figures.active = 5;
-  figures.pool_size = 6;
-  figures.pool_ejected = 7;
-  EXPECT_EQ(without_help(admin::render(figures)), contents(FLINTGLADE_TEST_DATA "/vars_names.txt"));
+  admin::Metrics metrics;
+  metrics.counters = &counters;
+  metrics.classes = {"chat", "bulk"};
+  metrics.active = 5;
+  metrics.pool_size = 6;
+  metrics.pool_ejected = 7;
+  EXPECT_EQ(without_help(admin::render(metrics)), contents(FLINTGLADE_TEST_DATA "/vars_names.txt"));
 }
 
 }  // namespace
--- a/tests/recordings/proto_numbers_test.cpp
+++ b/tests/recordings/proto_numbers_test.cpp
@@ -1,10 +1,11 @@
-// The fields of every message that leaves a process or stays on a disk, by number, type and label, against
-// tests/data/proto_fields.txt. In coordination.proto and hot_restart.proto a message or field may be renamed:
-// there a message is told by its position in the file, and names are not recorded. In operator.proto
-// (operators write its names) and kserve_v2.proto (a protocol that others define) names are recorded too.
+// Compares the number, type and label of each field of every message that is sent or stored with
+// tests/data/proto_fields.txt. In coordination.proto and hot_restart.proto messages and fields may be
+// renamed: there a message is identified by its position in the file, and names are not recorded. In
+// operator.proto (operators write its names) and kserve_v2.proto (an external protocol) names are recorded
+// too.
 //
-// The file was recorded on the commit before the refactoring for readability. A line may be changed or
-// removed only with a change of the format that is meant; a new field adds a line.
+// A line of the file is changed or removed only together with an intended change of the format; a new field
+// adds a line.
 #include <google/protobuf/descriptor.h>
 #include <gtest/gtest.h>
 
@@ -27,7 +28,8 @@
 
 enum class Names { free, frozen };
 
-// "3.1": the second message within the fourth of the file.
+// Indexes from the outermost message inwards; "3.1" is the second message nested in the fourth one of the
+// file.
 template <typename Type>
 std::string position(const Type* type) {
   const Descriptor* outer = type->containing_type();
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -1,7 +1,7 @@
-// Stored data: the files under tests/data were written by the version before the refactoring for readability
-// (tests/data/write_fixtures.cpp). Every later version reads them, field by field, and still writes the same
-// bytes for the same values. A file is never written anew; an expectation here changes only with a change of
-// the stored form that is meant, and then a file of the new form is added beside the old one.
+// Checks that stored data stays compatible. The files under tests/data were written by an earlier version
+// (tests/data/write_fixtures.cpp). Every later version must read them, field by field, and write the same
+// bytes for the same values. The files are never regenerated. An expectation here changes only together with
+// an intended change of the stored format, and then a file of the new format is added next to the old one.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -153,7 +153,7 @@
     return std::string(hot_restart::decode_snapshot(fixture(kStateFile), reader, now).status().message());
   };
   hot_restart::Origin reader = state_writer();
-  EXPECT_NE(refusal(reader, kStateWrittenAt), "");  // no younger than its writer
+  EXPECT_NE(refusal(reader, kStateWrittenAt), "");  // the reader started no later than the writer
   reader.began += 1;
   EXPECT_EQ(refusal(reader, kStateWrittenAt), "");
   EXPECT_NE(refusal(reader, kStateWrittenAt - 1), "");
@@ -196,7 +196,7 @@
     EXPECT_EQ(read.entries[i].DebugString(), sample.entries[i].DebugString());
 }
 
-TEST_F(StoredData, VoterRecordHoldsTheAgreedTable) {
+TEST_F(StoredData, VoterRecordHoldsTheCommittedLeaseTable) {
   put(kVoterFile, "/record.log");
   coordination::FileRaftStorage disk;
   absl::StatusOr<coordination::PersistentState> stored = disk.open(folder_);
@@ -233,7 +233,7 @@
   EXPECT_EQ(file_contents(folder_ + "/voter/record.log"), fixture(kVoterFile));
 }
 
-// ---- the counts that a router keeps
+// ---- the counter rows that a router keeps over a restart
 
 void expect_count(const coordination::RequestCounts& count, const std::string& team,
                   const std::string& request_class, const std::vector<std::uint64_t>& numbers) {
@@ -258,7 +258,7 @@
   expect_count(other.entry.counts(0), "acme", "batch", {4, 0, 0, 90'000, 4000});
   expect_count(other.entry.counts(1), "acme", "chat", {11, 3, 2, 8000, 55'000});
   EXPECT_EQ(other.entry.folded_size(), 0);
-  // Its writer had it as old as a row can be, and 12 s more.
+  // The writer had restored this row itself, so its age there was already kOldestRow plus 12 s.
   EXPECT_EQ(other.sealed, kNow - 2 * kOldestRow - 12 * core::kSecond);
 
   const auto& writer = rows.at({"r2", 300});
@@ -277,9 +277,9 @@
   EXPECT_EQ(sample_shared_state(), fixture(kSharedPartsFile));
 }
 
-// But for the entries of single processes, which programs before them pass over, each byte is as those wrote
-// it.
-TEST_F(StoredData, SharedStateIsAsBeforeForProgramsWithoutParts) {
+// Versions without CounterRow.parts (counts by process) ignore that field. All other bytes must be as those
+// versions wrote them.
+TEST_F(StoredData, SharedStateIsUnchangedForVersionsWithoutParts) {
   auto rows = shared::decode_counter_snapshot(sample_shared_state());
   ASSERT_TRUE(rows.ok());
   int parts = 0;
@@ -305,29 +305,29 @@
   expect_count(writer.parts(1).counts(0), "umbra", "chat", {2, 0, 0, 900, 10'000});
 }
 
-// ---- the file in which processes of one router show what they use
+// ---- the file in which the processes of a router publish their resource usage
 
 constexpr std::size_t kSlotsFileSize = 576, kFirstSlot = 64, kSlotSize = 64, kSlots = 8;
 
 template <typename Number>
-Number number_at(const std::string& bytes, std::size_t at) {
+Number number_at(const std::string& bytes, std::size_t offset) {
   Number out{};
-  if (at + sizeof out <= bytes.size()) std::memcpy(&out, bytes.data() + at, sizeof out);
+  if (offset + sizeof out <= bytes.size()) std::memcpy(&out, bytes.data() + offset, sizeof out);
   return out;
 }
 
 struct SlotContents {
-  std::uint32_t taken, stage;
-  std::uint64_t sockets, bodies, joined;
+  std::uint32_t in_use, stage;
+  std::uint64_t descriptors, body_bytes, join_order;
 };
 
 void expect_slot(const std::string& bytes, std::size_t slot, const SlotContents& expected) {
-  const std::size_t at = kFirstSlot + slot * kSlotSize;
-  EXPECT_EQ(number_at<std::uint32_t>(bytes, at), expected.taken);
-  EXPECT_EQ(number_at<std::uint32_t>(bytes, at + 4), expected.stage);
-  EXPECT_EQ(number_at<std::uint64_t>(bytes, at + 8), expected.sockets);
-  EXPECT_EQ(number_at<std::uint64_t>(bytes, at + 16), expected.bodies);
-  EXPECT_EQ(number_at<std::uint64_t>(bytes, at + 24), expected.joined);
+  const std::size_t offset = kFirstSlot + slot * kSlotSize;
+  EXPECT_EQ(number_at<std::uint32_t>(bytes, offset), expected.in_use);
+  EXPECT_EQ(number_at<std::uint32_t>(bytes, offset + 4), expected.stage);
+  EXPECT_EQ(number_at<std::uint64_t>(bytes, offset + 8), expected.descriptors);
+  EXPECT_EQ(number_at<std::uint64_t>(bytes, offset + 16), expected.body_bytes);
+  EXPECT_EQ(number_at<std::uint64_t>(bytes, offset + 24), expected.join_order);
 }
 
 TEST_F(StoredData, ProcessSlotsHaveTheirLayout) {
@@ -341,8 +341,9 @@
   for (std::size_t slot = 2; slot < kSlots; ++slot) expect_slot(bytes, slot, {0, 0, 0, 0, 0});
 }
 
-// The two that wrote it are gone, so their slots are free; who joins goes on counting where they were.
-TEST_F(StoredData, ProcessSlotsAreTakenOver) {
+// The two processes that wrote the file no longer exist, so their slots are free. The join order of new
+// processes continues from theirs.
+TEST_F(StoredData, ProcessSlotsOfEndedProcessesAreReused) {
   put(kProcessSlotsFile, kSlotsName);
   hot_restart::ProcessSlots first, second;
   ASSERT_TRUE(first.join(folder_, kSlotsRouter).ok());
--- a/tests/recordings/stored_samples.cpp
+++ b/tests/recordings/stored_samples.cpp
@@ -16,17 +16,17 @@
 
 using policy::Health;
 
-policy::TimeInSystem stay(double area, double sends, double at) {
+policy::TimeInSystem time_in_system(double in_flight_seconds, double arrivals, double updated_at) {
   policy::TimeInSystem out;
-  out.in_flight_seconds = area;
-  out.arrivals = sends;
-  out.updated_at = at;
+  out.in_flight_seconds = in_flight_seconds;
+  out.arrivals = arrivals;
+  out.updated_at = updated_at;
   return out;
 }
-policy::DecayingSum decayed(double sum, double at) {
+policy::DecayingSum decaying_sum(double sum, double updated_at) {
   policy::DecayingSum out;
   out.sum = sum;
-  out.updated_at = at;
+  out.updated_at = updated_at;
   return out;
 }
 core::Endpoint replica(std::uint64_t id, const std::string& address, Health health, double started_at) {
@@ -47,15 +47,15 @@
   out.health_updated_at = 5.25 + step / 8;
   out.slow_start_tokens = 1200.5 + step;
   out.slow_start_updated_at = 4.5 + step / 8;
-  out.time_in_system = stay(3.5 + step, 2.25 + step, 5.125);
+  out.time_in_system = time_in_system(3.5 + step, 2.25 + step, 5.125);
   out.rejecting_until = 6.5 + step;
   out.unreachable_until = 7.75 + step;
   out.consecutive_connect_failures = 3 + static_cast<int>(step);
   return out;
 }
 void fill_tables(policy::LearnedState& learned) {
-  learned.time_in_system_by_kind[4] = stay(11.5, 6.25, 5.5);
-  learned.time_in_system_by_kind[5] = stay(12.5, 7.25, 5.75);
+  learned.time_in_system_by_kind[4] = time_in_system(11.5, 6.25, 5.5);
+  learned.time_in_system_by_kind[5] = time_in_system(12.5, 7.25, 5.75);
   learned.prefill_costs[4].seconds_per_token = 0.000125;
   learned.prefill_costs[4].samples = 20.0;
   learned.prefill_costs[5].seconds_per_token = 0.00025;
@@ -68,7 +68,7 @@
   learned.zones[2].consecutive_connect_failures = 0;
   for (std::uint64_t i = 1; i <= 5; ++i) {
     policy::PrefixState& prefix = learned.prefixes[0x9e3779b97f4a7c15u * i];
-    prefix.work = decayed(1000.25 * static_cast<double>(i), 5.0 + static_cast<double>(i) / 16);
+    prefix.work = decaying_sum(1000.25 * static_cast<double>(i), 5.0 + static_cast<double>(i) / 16);
     prefix.replicas = static_cast<int>(i);
   }
   learned.first_event_latency = {{0.25, 0.125}, {0.5, 0.0625}};
@@ -78,11 +78,11 @@
 }
 void fill_sums(policy::LearnedState& learned) {
   learned.started_at = 0.5;
-  learned.time_in_system = stay(21.5, 13.25, 5.875);
-  learned.arrived_work = decayed(101.5, 5.8125);
-  learned.hot_window_work = decayed(102.5, 5.75);
-  learned.late_answers = decayed(3.5, 5.6875);
-  learned.answers = decayed(104.5, 5.625);
+  learned.time_in_system = time_in_system(21.5, 13.25, 5.875);
+  learned.arrived_work = decaying_sum(101.5, 5.8125);
+  learned.hot_window_work = decaying_sum(102.5, 5.75);
+  learned.late_answers = decaying_sum(3.5, 5.6875);
+  learned.answers = decaying_sum(104.5, 5.625);
   learned.same_prefix_pairs = 201.5;
   learned.all_pairs = 302.5;
   learned.prefix_widening = 1.75;
@@ -125,8 +125,8 @@
 
 namespace {
 
-// A version byte, how many there are (8 bytes), and of each its id (8), its address with a zero, its role
-// (1).
+// A version byte, the number of voters (8 bytes), and for each voter its id (8), its zero-terminated address
+// (14) and its role (1).
 constexpr std::ptrdiff_t kEncodedVoters = 1 + 8 + 3 * (8 + 14 + 1);
 
 std::vector<coordination::Voter> voters() {
@@ -138,12 +138,12 @@
   }
   return out;
 }
-coordination::Command grant(const std::string& job, const std::string& owner, std::uint64_t birth,
+coordination::Command grant(const std::string& job, const std::string& owner, std::uint64_t incarnation,
                             std::uint64_t seen) {
   coordination::Command out;
   out.mutable_grant()->set_job(job);
   out.mutable_grant()->set_owner(owner);
-  out.mutable_grant()->set_birth(birth);
+  out.mutable_grant()->set_birth(incarnation);
   out.mutable_grant()->set_seen(seen);
   return out;
 }
@@ -169,14 +169,14 @@
 }
 coordination::Command draw() {
   coordination::Command out;
-  coordination::StockDraw& d = *out.mutable_draw();
-  d.set_job("bank");
-  d.set_number(1);
-  d.set_serial(5);
-  d.set_stock("monthly");
-  d.set_window(681);
-  d.set_amount(250'000);
-  d.set_whole(1'000'000);
+  coordination::StockDraw& stock_draw = *out.mutable_draw();
+  stock_draw.set_job("bank");
+  stock_draw.set_number(1);
+  stock_draw.set_serial(5);
+  stock_draw.set_stock("monthly");
+  stock_draw.set_window(681);
+  stock_draw.set_amount(250'000);
+  stock_draw.set_whole(1'000'000);
   return out;
 }
 coordination::Frame vote(std::uint64_t term, std::uint64_t voted_for) {
@@ -198,25 +198,25 @@
   out.set_truncate(index);
   return out;
 }
-// Of the entries to index 4, with two kept before it.
+// Of the entries up to index 4; the log keeps entries 3 and 4.
 coordination::Frame snapshot() {
-  coordination::LeaseStateMachine jobs;
-  jobs.apply(grant("bank", "r1", 1001, 0));
-  jobs.apply(grant("list-north", "r2", 1002, 0));
-  jobs.apply(draw());
+  coordination::LeaseStateMachine leases;
+  leases.apply(grant("bank", "r1", 1001, 0));
+  leases.apply(grant("list-north", "r2", 1002, 0));
+  leases.apply(draw());
   coordination::Frame out;
-  coordination::Snapshot& s = *out.mutable_snapshot();
-  s.set_index(4);
-  s.set_term(3);
-  s.set_conf_index(1);
-  for (const coordination::Voter& v : voters()) {
-    coordination::Server& server = *s.add_servers();
-    server.set_id(v.id());
-    server.set_at(v.at());
+  coordination::Snapshot& saved = *out.mutable_snapshot();
+  saved.set_index(4);
+  saved.set_term(3);
+  saved.set_conf_index(1);
+  for (const coordination::Voter& voter : voters()) {
+    coordination::Server& server = *saved.add_servers();
+    server.set_id(voter.id());
+    server.set_at(voter.at());
     server.set_role(RAFT_VOTER);
   }
-  s.set_data(jobs.save());
-  s.set_first_kept(3);
+  saved.set_data(leases.save());
+  saved.set_first_kept(3);
   return out;
 }
 std::vector<coordination::Frame> appended_frames() {
@@ -249,20 +249,20 @@
 std::string write_voter_record(const std::string& directory) {
   coordination::PersistentState first =
       coordination::RaftNode::initial_state(kVoterFleet, kVoterId, voters());
-  // The library fills the voters' list up to a multiple of eight bytes, with whatever was in its memory.
+  // The Raft library pads the encoded voters to a multiple of eight bytes with uninitialised memory.
   std::string& encoded = *first.entries.front().mutable_data();
   std::fill(encoded.begin() + kEncodedVoters, encoded.end(), '\0');
   absl::Status status = coordination::FileRaftStorage::create(directory, first);
   if (!status.ok()) return std::string(status.message());
-  coordination::FileRaftStorage disk;
-  status = disk.open(directory).status();
+  coordination::FileRaftStorage storage;
+  status = storage.open(directory).status();
   for (const coordination::Frame& frame : appended_frames()) {
-    if (status.ok()) status = disk.append(coordination::encode_log_frame(frame));
+    if (status.ok()) status = storage.append(coordination::encode_log_frame(frame));
   }
   return std::string(status.message());
 }
 
-// ---- the counts that a router keeps
+// ---- the counter rows that a router keeps over a restart
 
 namespace {
 
@@ -279,12 +279,13 @@
 
 }  // namespace
 
-shared::SharedState sharing_router(const std::string& name, const std::string& site, std::uint64_t birth) {
+shared::SharedState sharing_router(const std::string& name, const std::string& site,
+                                   std::uint64_t incarnation) {
   membership::Self self;
   self.name = name;
   self.site = site;
   self.at = "10.0.0.1:7000";
-  self.birth = birth;
+  self.birth = incarnation;
   return shared::SharedState(shared::Settings{}, shared::SharedState::Ports{}, self, 1);
 }
 
--- a/tests/recordings/stored_samples.h
+++ b/tests/recordings/stored_samples.h
@@ -1,5 +1,5 @@
-// What the files under tests/data hold: the values that tests/data/write_fixtures.cpp has written and that
-// stored_data_test.cpp expects to read. Times are microseconds.
+// The contents of the files under tests/data: tests/data/write_fixtures.cpp wrote these values and
+// stored_data_test.cpp expects to read them. Times are in microseconds.
 #pragma once
 
 #include <string>
@@ -13,11 +13,11 @@
 
 inline constexpr char kStateFile[] = "state_snapshot_v1.bin";
 inline constexpr char kVoterFile[] = "voter_record_v1.log";
-inline constexpr char kSharedFile[] = "shared_state_v1.bin";  // of the versions without CounterRow.parts
+inline constexpr char kSharedFile[] = "shared_state_v1.bin";  // from versions without CounterRow.parts
 inline constexpr char kSharedPartsFile[] = "shared_state_v1_parts.bin";
 inline constexpr char kProcessSlotsFile[] = "process_slots_v1.bin";
 
-// ---- the state snapshot that one process leaves for the next
+// ---- the state snapshot that a process writes for its successor
 
 const hot_restart::Origin& state_writer();
 inline constexpr core::Micros kStateWrittenAt = 5'999'000;
@@ -27,23 +27,25 @@
 
 inline constexpr char kVoterFleet[] = "glasshouse";
 inline constexpr std::uint64_t kVoterId = 2;
-// What the file holds once it is read.
+// The state that reading the file gives.
 coordination::PersistentState sample_voter_memory();
-// Makes record.log in this directory, as a voter does: its head, then vote, entries, a truncation, a snapshot
-// and one more entry are appended. Empty, or what failed.
+// Creates record.log in this directory as a voter does: the head, then appended votes, entries, a truncation,
+// a snapshot and further entries. Returns an empty string, or an error message.
 std::string write_voter_record(const std::string& directory);
 
-// ---- the counts that a router keeps over its restart
+// ---- the counter rows that a router keeps over a restart
 
 inline constexpr core::Micros kSharedWrittenAt = 50 * core::kSecond;
-shared::SharedState sharing_router(const std::string& name, const std::string& site, std::uint64_t birth);
+shared::SharedState sharing_router(const std::string& name, const std::string& site,
+                                   std::uint64_t incarnation);
 std::string sample_shared_state();
 
-// ---- the file in which processes of one router show what they use
+// ---- the file in which the processes of a router publish their resource usage
 
 inline constexpr char kSlotsRouter[] = "n1";
 inline constexpr char kSlotsName[] = "/flintglade.seats";  // in the scratch folder
-// Has two processes' slots written into this folder and gives the file as it was while both were held.
+// Writes the slots of two processes in this folder and returns the file's contents while both slots are in
+// use.
 std::string write_process_slots(const std::string& folder);
 
 std::string file_contents(const std::string& path);
