--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -64,7 +64,7 @@
   discovery::Watch watch(io, clock, config.discovery, {config.zones, config.kinds},
                          discovery::BootClock(unix_to_monotonic(clock)));
   EndpointSources sources(io, clock, watch, file.membership(), specs);
-  sources.tell([](core::EndpointListUpdate) {});
+  sources.set_update_handler([](core::EndpointListUpdate) {});
   sources.start(config.known);
   const auto end =
       std::chrono::steady_clock::now() + std::chrono::microseconds(static_cast<long>(wait_s * 1e6));
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -225,9 +225,9 @@
     broker.on_endpoint_list_update(std::move(news));
   };
   if (sources) {
-    sources->tell(told);
+    sources->set_update_handler(told);
   } else {
-    watch.tell(told);
+    watch.set_update_handler(told);
   }
 
   http::ReplicaClientSettings http_settings;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -124,7 +124,7 @@
     Watch* owner = owner_;
     stop();
     owner->session_.reset();
-    owner->tell_({});  // reports the failure; the list held stays in force
+    owner->update_handler_({});  // reports the failure; the list held stays in force
   }
 
   Watch* owner_;  // null once stopped
@@ -152,7 +152,7 @@
   last_was_full_ = update.kind != policy::ListKind::delta;
   have_list_ = true;
   last_error_.clear();
-  tell_(std::move(update));
+  update_handler_(std::move(update));
   return true;
 }
 
@@ -175,7 +175,7 @@
   }
   // Delivered even if empty: this update makes the module request the list for the first time.
   update.kind = policy::ListKind::cached;
-  tell_(std::move(update));
+  update_handler_(std::move(update));
 }
 
 std::string Watch::status() const {
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -27,11 +27,11 @@
 
 class Watch final : public core::EndpointList {
  public:
-  using Tell = std::function<void(core::EndpointListUpdate)>;
+  using UpdateHandler = std::function<void(core::EndpointListUpdate)>;
   Watch(boost::asio::io_context& io, core::Clock& clock, config::HostPort address, Names names,
         BootClock boot_clock, Silence silence = {});
   ~Watch() override;
-  void tell(Tell tell) { tell_ = std::move(tell); }
+  void set_update_handler(UpdateHandler handler) { update_handler_ = std::move(handler); }
   void known(const std::string& json);  // the cached list, or empty; the watch starts from its version
   // Called by the module, and again after a failure; the watch never retries by itself.
   void subscribe(bool on) override;
@@ -57,7 +57,7 @@
   Names names_;
   BootClock boot_clock_;
   Silence silence_;
-  Tell tell_;
+  UpdateHandler update_handler_;
   OnLine on_line_;
   std::uint32_t version_ = 0;
   bool have_list_ = false;
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -43,10 +43,10 @@
       merge_timer_(io),
       list_retry_timer_(io),
       uses_list_(has_list(specs_)) {
-  watch_.tell([this](core::EndpointListUpdate update) { on_list_update(std::move(update)); });
+  watch_.set_update_handler([this](core::EndpointListUpdate update) { on_list_update(std::move(update)); });
 }
 EndpointSources::~EndpointSources() {
-  watch_.tell([](core::EndpointListUpdate) {});
+  watch_.set_update_handler([](core::EndpointListUpdate) {});
 }
 
 void EndpointSources::start(const std::string& cached_list) {
@@ -54,7 +54,7 @@
   core::EndpointListUpdate cached = merger_.full_list();
   merger_.take_changes();
   cached.kind = policy::ListKind::cached;
-  tell_(std::move(cached));
+  update_handler_(std::move(cached));
   if (uses_list_) watch_.subscribe(true);
   client_.configure(client_.resolver().settings(), dns_names(specs_));
   publish();
@@ -147,12 +147,12 @@
   if (merger_.any_answered() && (list_requested_ || !list_delivered_)) {
     list_requested_ = false;
     list_delivered_ = true;
-    tell_(merger_.full_list());
+    update_handler_(merger_.full_list());
   } else if (list_requested_ && merger_.all_failed()) {
     list_requested_ = false;
-    tell_({});  // reports a failure; the core requests the list again later
+    update_handler_({});  // reports a failure; the core requests the list again later
   } else if (list_delivered_ && changes) {
-    tell_(std::move(*changes));
+    update_handler_(std::move(*changes));
   }
   const Micros next = merger_.next_timer();
   if (next == core::kNever) {
--- a/src/endpoint_sources/endpoint_sources.h
+++ b/src/endpoint_sources/endpoint_sources.h
@@ -19,13 +19,13 @@
 
 class EndpointSources final : public core::EndpointList, private dns::ResolverListener {
  public:
-  using Tell = std::function<void(core::EndpointListUpdate)>;
+  using UpdateHandler = std::function<void(core::EndpointListUpdate)>;
   // watch must outlive this object. It is used only if one of the sources is the platform's list.
   EndpointSources(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
                   const deploy::Membership& file, std::vector<SourceSpec> specs);
   ~EndpointSources() override;
 
-  void tell(Tell tell) { tell_ = std::move(tell); }
+  void set_update_handler(UpdateHandler handler) { update_handler_ = std::move(handler); }
   void start(const std::string& cached_list);  // the platform's last known list as JSON, or empty
   // Called by the core to request the list, and again after a failure. If a source has answered, the list is
   // delivered at once.
@@ -52,7 +52,7 @@
   std::vector<SourceSpec> specs_;
   EndpointMerger merger_;
   dns::Client client_;
-  Tell tell_;
+  UpdateHandler update_handler_;
   boost::asio::steady_timer merge_timer_, list_retry_timer_;
   bool uses_list_ = false;
   bool list_requested_ = false;  // the core waits for a list
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -132,7 +132,7 @@
     watch = std::make_unique<discovery::Watch>(
         io, ports, config::HostPort{"127.0.0.1", acceptor.local_endpoint().port()}, discovery::Names{},
         discovery::BootClock(0), silence);
-    watch->tell([this](core::EndpointListUpdate news) { told.push_back(std::move(news)); });
+    watch->set_update_handler([this](core::EndpointListUpdate news) { told.push_back(std::move(news)); });
     watch->subscribe(true);
     acceptor.accept(peer);
     write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/tests/measure/dns.cpp
+++ b/tests/measure/dns.cpp
@@ -122,7 +122,7 @@
   const long before = resident_kb();
   endpoint_sources::EndpointSources sources(io, clock, watch, file, specs);
   std::size_t told = 0;
-  sources.tell([&told](core::EndpointListUpdate news) { told += news.entries.size(); });
+  sources.set_update_handler([&told](core::EndpointListUpdate news) { told += news.entries.size(); });
   sources.start("");
   std::vector<double> handlers;
   double at_first = 0.0, at_change = 0.0;
