--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -79,7 +79,7 @@
   }
   std::printf("%-24s %-9s %-6s %-6s %-6s %-12s %s\n", "address", "takes", "size", "group", "ttl", "clause",
               "said");
-  for (const auto& [address, v] : sources.membership().verdicts()) {
+  for (const auto& [address, v] : sources.membership().merged_endpoints()) {
     std::string said;
     for (const auto& s : sources.membership().said(address, now))
       said += (said.empty() ? "" : ", ") + s.source + ": " + s.what;
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -287,7 +287,7 @@
   return out;
 }
 
-// ---- verdicts
+// ---- merged endpoints
 
 // Whether a source has failed for so long that it is ignored. It is not ignored while no other source
 // answers: old reports are better than none.
@@ -382,39 +382,39 @@
   // The list has no priorities: an address that only the list reports belongs to the first group.
   std::uint16_t first_group = UINT16_MAX;
   for (const auto& [address, candidate] : candidates) first_group = std::min(first_group, candidate.priority);
-  std::map<std::string, Verdict> verdicts;
+  std::map<std::string, MergedEndpoint> merged_endpoints;
   for (const auto& [address, candidate] : candidates) {
-    Verdict& verdict = verdicts[address];
-    verdict.clause = candidate.clause;
-    verdict.source = candidate.best_source->spec.name;
-    verdict.priority = candidate.has_priority ? candidate.priority : first_group;
+    MergedEndpoint& merged = merged_endpoints[address];
+    merged.clause = candidate.clause;
+    merged.source = candidate.best_source->spec.name;
+    merged.priority = candidate.has_priority ? candidate.priority : first_group;
     if (candidate.list_report != nullptr) {
       // The list's entry is preferred: for DNS sources these values come from the settings or are guessed.
-      verdict.endpoint = candidate.list_report->entry;
-      verdict.endpoint.replica.size = candidate.list_report->size;
+      merged.endpoint = candidate.list_report->entry;
+      merged.endpoint.replica.size = candidate.list_report->size;
     } else {
       const SourceSpec& spec = candidate.best_source->spec;
-      verdict.endpoint.replica.zone = spec.zone;
-      verdict.endpoint.replica.kind = spec.kind;
-      verdict.endpoint.replica.cell = spec.cell;
-      verdict.endpoint.replica.size = candidate.best->size;
+      merged.endpoint.replica.zone = spec.zone;
+      merged.endpoint.replica.kind = spec.kind;
+      merged.endpoint.replica.cell = spec.cell;
+      merged.endpoint.replica.size = candidate.best->size;
       // DNS has no start times. A replica that joins a known set has most likely just started, and needs slow
       // start so that it is not overloaded while cold.
       if (candidate.best->joined_later)
-        verdict.endpoint.replica.started_at = static_cast<double>(candidate.best->since) / 1e6;
-      if (const auto old = verdicts_.find(address); old != verdicts_.end() &&
-                                                    old->second.endpoint.replica.health == Health::ready &&
-                                                    candidate.rank >= 3)
-        verdict.endpoint.replica.started_at =
+        merged.endpoint.replica.started_at = static_cast<double>(candidate.best->since) / 1e6;
+      if (const auto old = merged_endpoints_.find(address);
+          old != merged_endpoints_.end() && old->second.endpoint.replica.health == Health::ready &&
+          candidate.rank >= 3)
+        merged.endpoint.replica.started_at =
             old->second.endpoint.replica.started_at;  // it was ready before: it has not restarted
     }
-    verdict.endpoint.address = address;
-    verdict.endpoint.replica.id = replica_id(address);
-    verdict.endpoint.replica.health = candidate.rank >= 3   ? Health::ready
-                                      : candidate.rank == 2 ? Health::draining
-                                                            : Health::gone;
+    merged.endpoint.address = address;
+    merged.endpoint.replica.id = replica_id(address);
+    merged.endpoint.replica.health = candidate.rank >= 3   ? Health::ready
+                                     : candidate.rank == 2 ? Health::draining
+                                                           : Health::gone;
   }
-  verdicts_ = std::move(verdicts);
+  merged_endpoints_ = std::move(merged_endpoints);
   assign_traffic_shares(now);
 }
 
@@ -427,12 +427,12 @@
     double total = 0.0, ready = 0.0, ready_size = 0.0;
   };
   std::map<std::uint16_t, Count> counts;
-  for (const auto& [address, verdict] : verdicts_) {
-    Count& count = counts[verdict.priority];
+  for (const auto& [address, merged] : merged_endpoints_) {
+    Count& count = counts[merged.priority];
     count.total += 1.0;  // with draining and recently removed replicas, which the group is missing
-    if (verdict.endpoint.replica.health != Health::ready) continue;
+    if (merged.endpoint.replica.health != Health::ready) continue;
     count.ready += 1.0;
-    count.ready_size += verdict.endpoint.replica.size;
+    count.ready_size += merged.endpoint.replica.size;
   }
   traffic_shares_.clear();
   double unassigned_share = 1.0, assigned_size = 0.0, assigned_share = 0.0;
@@ -473,14 +473,14 @@
     unassigned_share -= share;
     if (unassigned_share < 1e-9) unassigned_share = 0.0;
   }
-  for (auto& [address, verdict] : verdicts_) {
-    if (verdict.endpoint.replica.health != Health::ready) continue;
-    const auto size_factor = size_factors.find(verdict.priority);
+  for (auto& [address, merged] : merged_endpoints_) {
+    if (merged.endpoint.replica.health != Health::ready) continue;
+    const auto size_factor = size_factors.find(merged.priority);
     if (size_factor == size_factors.end()) {
-      verdict.endpoint.replica.health = Health::draining;
-      verdict.clause = Clause::standby;
+      merged.endpoint.replica.health = Health::draining;
+      merged.clause = Clause::standby;
     } else {
-      verdict.endpoint.replica.size *= size_factor->second;
+      merged.endpoint.replica.size *= size_factor->second;
     }
   }
 }
@@ -490,9 +490,9 @@
 std::optional<core::EndpointListUpdate> EndpointMerger::take_changes() {
   core::EndpointListUpdate update;
   update.kind = policy::ListKind::delta;
-  for (const auto& [address, verdict] : verdicts_) {
+  for (const auto& [address, merged] : merged_endpoints_) {
     const auto it = taken_endpoints_.find(address);
-    const auto& replica = verdict.endpoint.replica;
+    const auto& replica = merged.endpoint.replica;
     if (it == taken_endpoints_.end() && replica.health == Health::gone) continue;
     if (it != taken_endpoints_.end()) {
       const auto& taken = it->second.replica;
@@ -501,11 +501,11 @@
           taken.kind == replica.kind && taken.cell == replica.cell)
         continue;
     }
-    update.entries.push_back(verdict.endpoint);
-    taken_endpoints_[address] = verdict.endpoint;
+    update.entries.push_back(merged.endpoint);
+    taken_endpoints_[address] = merged.endpoint;
   }
   for (auto it = taken_endpoints_.begin(); it != taken_endpoints_.end();) {
-    if (verdicts_.count(it->first) != 0) {
+    if (merged_endpoints_.count(it->first) != 0) {
       ++it;
       continue;
     }
@@ -524,8 +524,8 @@
   core::EndpointListUpdate update;
   update.kind = policy::ListKind::full;
   update.version = version_;
-  for (const auto& [address, verdict] : verdicts_) {
-    if (verdict.endpoint.replica.health != Health::gone) update.entries.push_back(verdict.endpoint);
+  for (const auto& [address, merged] : merged_endpoints_) {
+    if (merged.endpoint.replica.health != Health::gone) update.entries.push_back(merged.endpoint);
   }
   return update;
 }
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -1,6 +1,6 @@
 // Merges several sources of endpoints, which may be late, contradict each other or fail, into one set of
 // replicas. Does no I/O; callers pass the time. docs/membership.md defines the merge rule clause by clause;
-// each verdict names the clause that decided it.
+// each merged endpoint names the clause that decided it.
 #pragma once
 
 #include <cstdint>
@@ -80,7 +80,7 @@
   std::string source;
   const char* what;
 };
-struct Verdict {
+struct MergedEndpoint {
   core::Endpoint endpoint;  // as the core gets it
   Clause clause = Clause::reported;
   std::string source;  // the source that decided
@@ -120,10 +120,10 @@
   bool all_failed() const;  // no source has answered, and each has failed
   // DNS names to query again, because their last answers removed too many addresses.
   std::vector<std::string> names_to_confirm(Micros now);
-  const std::map<std::string, Verdict>& verdicts() const { return verdicts_; }
+  const std::map<std::string, MergedEndpoint>& merged_endpoints() const { return merged_endpoints_; }
   std::uint64_t generation() const {
     return generation_;
-  }  // incremented whenever the verdicts are recomputed
+  }  // incremented whenever the merged endpoints are recomputed
   std::vector<ReportSummary> said(const std::string& address, Micros now) const;
   std::vector<SourceStatus> status(Micros now) const;
   // The fraction of the traffic that each priority group gets.
@@ -162,14 +162,14 @@
                      bool delay_return);
   void record_removal(Micros now, Source& source, const std::string& address);
   void merge_list(Micros now, Source& source, const core::EndpointListUpdate& update, bool first);
-  void recompute(Micros now);              // derives the verdicts from the reports
+  void recompute(Micros now);              // derives the merged endpoints from the reports
   void assign_traffic_shares(Micros now);  // by priority group; scales the replicas' sizes
   void schedule(Micros at) { next_timer_ = std::min(next_timer_, at); }
 
   Settings settings_;
   std::vector<Source> sources_;
-  std::map<std::string, Verdict> verdicts_;                // by address
-  std::map<std::string, core::Endpoint> taken_endpoints_;  // as take_changes() last returned them
+  std::map<std::string, MergedEndpoint> merged_endpoints_;  // by address
+  std::map<std::string, core::Endpoint> taken_endpoints_;   // as take_changes() last returned them
   std::map<std::uint16_t, PriorityGroup> groups_;
   std::map<std::uint16_t, double> traffic_shares_;
   Micros next_timer_ = core::kNever;
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -174,10 +174,10 @@
                {{"name", s.name}, {"state", s.state}, {"names", s.names}, {"error", s.error}});
     logged_state = s.state;
   }
-  const auto& verdicts = merger_.verdicts();
+  const auto& merged_endpoints = merger_.merged_endpoints();
   std::size_t changed = 0;
-  for (const auto& [address, verdict] : verdicts) {
-    const std::pair state{verdict.endpoint.replica.health, verdict.clause};
+  for (const auto& [address, merged] : merged_endpoints) {
+    const std::pair state{merged.endpoint.replica.health, merged.clause};
     const auto [it, inserted] = logged_endpoints_.try_emplace(address, state);
     if (!inserted && it->second == state) continue;
     it->second = state;
@@ -185,14 +185,15 @@
     log::event(Level::info, "endpoint_state",
                {{"address", address},
                 {"takes", state.first == Health::ready ? "new requests" : "nothing new"},
-                {"clause", static_cast<int>(verdict.clause)},
-                {"because", to_string(verdict.clause)},
-                {"source", verdict.source}});
+                {"clause", static_cast<int>(merged.clause)},
+                {"because", to_string(merged.clause)},
+                {"source", merged.source}});
   }
   if (changed > kMaxLoggedEndpoints)
-    log::event(Level::info, "endpoints_changed", {{"changed", changed}, {"held", verdicts.size()}});
-  if (logged_endpoints_.size() > verdicts.size())
-    std::erase_if(logged_endpoints_, [&](const auto& entry) { return verdicts.count(entry.first) == 0; });
+    log::event(Level::info, "endpoints_changed", {{"changed", changed}, {"held", merged_endpoints.size()}});
+  if (logged_endpoints_.size() > merged_endpoints.size())
+    std::erase_if(logged_endpoints_,
+                  [&](const auto& entry) { return merged_endpoints.count(entry.first) == 0; });
 }
 
 std::string EndpointSources::status() const {
@@ -225,8 +226,8 @@
          {"dns_left_out", dns_counters.records_left_out},
          {"dns_cached", client_.resolver().cached()}};
   std::array<std::uint64_t, 10> replicas_by_clause{};
-  for (const auto& [address, verdict] : merger_.verdicts())
-    ++replicas_by_clause[static_cast<std::size_t>(verdict.clause)];
+  for (const auto& [address, merged] : merger_.merged_endpoints())
+    ++replicas_by_clause[static_cast<std::size_t>(merged.clause)];
   for (int clause = 2; clause <= 9; ++clause)
     out.emplace_back(std::string("replicas_") + to_string(static_cast<Clause>(clause)),
                      replicas_by_clause[clause]);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -66,11 +66,11 @@
   EndpointMerger merger{Settings{}, {list_source(), dns_source("a"), dns_source("b")}};
   Micros now = 100 * kSecond;
   Health health(int n) const {
-    const auto it = merger.verdicts().find(address(n));
-    return it == merger.verdicts().end() ? Health::gone : it->second.endpoint.replica.health;
+    const auto it = merger.merged_endpoints().find(address(n));
+    return it == merger.merged_endpoints().end() ? Health::gone : it->second.endpoint.replica.health;
   }
-  Clause clause(int n) const { return merger.verdicts().at(address(n)).clause; }
-  double size(int n) const { return merger.verdicts().at(address(n)).endpoint.replica.size; }
+  Clause clause(int n) const { return merger.merged_endpoints().at(address(n)).clause; }
+  double size(int n) const { return merger.merged_endpoints().at(address(n)).endpoint.replica.size; }
   void pass(Micros span) {
     const Micros end = now + span;
     while (merger.next_timer() <= end) {
@@ -88,7 +88,7 @@
   test.merger.apply_list(
       test.now, list(ListKind::full, 1, {entry(1, 1, Health::draining), entry(2, 1, Health::ready, 50.0)}));
   CHECK(test.health(1) == Health::ready);
-  CHECK(test.merger.verdicts().at(address(1)).endpoint.replica.started_at == 50.0);
+  CHECK(test.merger.merged_endpoints().at(address(1)).endpoint.replica.started_at == 50.0);
   // An id moves to another address: the old address is removed, the new one is a replica of its own.
   test.merger.apply_list(
       test.now, list(ListKind::delta, 2, {entry(2, 2, Health::ready, 50.0), entry(1, 1, Health::gone)}));
@@ -97,7 +97,7 @@
   // Another id at the address of one that was removed.
   test.merger.apply_list(test.now, list(ListKind::delta, 3, {entry(3, 1, Health::ready, 90.0)}));
   CHECK(test.health(1) == Health::ready);
-  CHECK(test.merger.verdicts().at(address(1)).endpoint.replica.id == replica_id(address(1)));
+  CHECK(test.merger.merged_endpoints().at(address(1)).endpoint.replica.id == replica_id(address(1)));
 }
 
 void the_worst_report_wins() {
@@ -119,9 +119,9 @@
   test.pass(2 * kSecond);
   CHECK(test.clause(3) == Clause::reported);
   // A replica that joins a known set counts as just started; those of the first answer started long ago.
-  CHECK(test.merger.verdicts().at(address(1)).endpoint.replica.started_at == 0.0);
+  CHECK(test.merger.merged_endpoints().at(address(1)).endpoint.replica.started_at == 0.0);
   test.merger.apply_dns_answer(test.now, "a", dns_answer({1, 2, 3, 4, 6}));
-  CHECK(test.merger.verdicts().at(address(6)).endpoint.replica.started_at > 0.0);
+  CHECK(test.merger.merged_endpoints().at(address(6)).endpoint.replica.started_at > 0.0);
 }
 
 void a_list_whose_version_goes_back_is_delayed() {
@@ -162,7 +162,7 @@
   test.merger.apply_dns_answer(test.now, "a", dns_answer({1, 2, 3, 4}));
   test.pass(6 * kSecond);
   CHECK(test.clause(1) == Clause::reported &&
-        test.merger.verdicts().at(address(1)).endpoint.replica.started_at == 0.0);
+        test.merger.merged_endpoints().at(address(1)).endpoint.replica.started_at == 0.0);
   // Small steps: together they may remove at most max_removed_fraction within confirm_delay.
   TestMerger small_steps;
   small_steps.merger.apply_dns_answer(small_steps.now, "a", dns_answer({1, 2, 3, 4}));
@@ -377,12 +377,12 @@
     Model model;
     for (const Step& step : *histories()) {
       play(test, model, step);
-      for (const auto& [verdict_address, verdict] : test.merger.verdicts()) {
-        if (verdict.endpoint.replica.health != Health::ready) continue;
+      for (const auto& [merged_address, merged] : test.merger.merged_endpoints()) {
+        if (merged.endpoint.replica.health != Health::ready) continue;
         bool reported = false;
         for (int n = 1; n <= 6; ++n) {
           for (const auto& states : model.reported)
-            reported = reported || (address(n) == verdict_address && states.count(n) != 0);
+            reported = reported || (address(n) == merged_address && states.count(n) != 0);
         }
         RC_ASSERT(reported);
       }
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -311,12 +311,12 @@
     const auto changes = merger_.take_changes();
     hash_.add_integer(changes.has_value());
     if (changes) add(*changes);
-    for (const auto& [verdict_address, verdict] : merger_.verdicts()) {
-      hash_.add_text(verdict_address);
-      add(verdict.endpoint);
-      hash_.add_integer(static_cast<std::uint64_t>(verdict.clause));
-      hash_.add_text(verdict.source);
-      hash_.add_integer(verdict.priority);
+    for (const auto& [merged_address, merged] : merger_.merged_endpoints()) {
+      hash_.add_text(merged_address);
+      add(merged.endpoint);
+      hash_.add_integer(static_cast<std::uint64_t>(merged.clause));
+      hash_.add_text(merged.source);
+      hash_.add_integer(merged.priority);
     }
     for (const auto& [priority, share] : merger_.traffic_shares()) {
       hash_.add_integer(priority);
