--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -81,7 +81,7 @@
               "said");
   for (const auto& [address, v] : sources.membership().merged_endpoints()) {
     std::string said;
-    for (const auto& s : sources.membership().said(address, now))
+    for (const auto& s : sources.membership().report_summaries(address, now))
       said += (said.empty() ? "" : ", ") + s.source + ": " + s.what;
     const auto health = v.endpoint.replica.health;
     std::printf("%-24s %-9s %-6.2f %-6u %-6s %d %-10s %s\n", address.c_str(),
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -538,7 +538,7 @@
          std::all_of(sources_.begin(), sources_.end(), [](const Source& s) { return s.failing; });
 }
 
-std::vector<ReportSummary> EndpointMerger::said(const std::string& address, Micros now) const {
+std::vector<ReportSummary> EndpointMerger::report_summaries(const std::string& address, Micros now) const {
   std::vector<ReportSummary> out;
   for (const Source& s : sources_) {
     const auto it = s.reports.find(address);
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -124,7 +124,7 @@
   std::uint64_t generation() const {
     return generation_;
   }  // incremented whenever the merged endpoints are recomputed
-  std::vector<ReportSummary> said(const std::string& address, Micros now) const;
+  std::vector<ReportSummary> report_summaries(const std::string& address, Micros now) const;
   std::vector<SourceStatus> status(Micros now) const;
   // The fraction of the traffic that each priority group gets.
   const std::map<std::uint16_t, double>& traffic_shares() const { return traffic_shares_; }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -344,7 +344,7 @@
         for (int s = 1; s <= 2; ++s) {
           const auto report = model.reported[s].find(n);
           if (report == model.reported[s].end() || report->second == ReportedState::ready) continue;
-          const auto summaries = test.merger.said(address(n), test.now);
+          const auto summaries = test.merger.report_summaries(address(n), test.now);
           const bool unconfirmed =
               std::any_of(summaries.begin(), summaries.end(), [&](const ReportSummary& summary) {
                 return summary.source == (s == 1 ? "a" : "b") &&
