--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -31,8 +31,9 @@
     for (const dns::Target& target : answer.targets) {
       dns::SrvAnswer one;
       one.targets = {target};
-      for (const auto& named : endpoint_sources::facts(one).named) {
-        if (named.address == address) left = std::max(left, std::min(answer.expires, target.expires) - now);
+      for (const auto& dns_address : endpoint_sources::facts(one).addresses) {
+        if (dns_address.address == address)
+          left = std::max(left, std::min(answer.expires, target.expires) - now);
       }
     }
   }
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -206,12 +206,12 @@
   std::map<std::string, AddressReport> addresses;
   // Weights are relative within one priority (RFC 2782). A replica with the mean weight has size 1.
   std::map<std::uint16_t, std::pair<double, int>> weights;
-  for (const DnsAddress& target : answer.named) {
+  for (const DnsAddress& target : answer.addresses) {
     auto& [sum, count] = weights[target.priority];
     sum += target.weight;
     count += target.weight > 0;
   }
-  for (const DnsAddress& target : answer.named) {
+  for (const DnsAddress& target : answer.addresses) {
     const auto& [sum, count] = weights[target.priority];
     AddressReport report;
     report.host = target.host;
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -54,7 +54,7 @@
   std::uint16_t priority = 0, weight = 0;
 };
 struct ResolvedAddresses {  // a complete, valid answer; it may be empty
-  std::vector<DnsAddress> named;
+  std::vector<DnsAddress> addresses;
   std::vector<std::string> unresolved;  // targets whose addresses are currently unknown
   std::uint64_t fingerprint = 0;        // equal for answers with equal contents; 0: unknown
 };
--- a/src/endpoint_sources/source_settings.cpp
+++ b/src/endpoint_sources/source_settings.cpp
@@ -86,9 +86,9 @@
       boost::system::error_code ec;
       const auto address = boost::asio::ip::make_address(text, ec);
       if (!ec)
-        out.named.push_back({config::host_port(address.to_string(), target.port), target.host,
-                             target.priority, target.weight});
-      if (!ec) contents += " " + out.named.back().address;
+        out.addresses.push_back({config::host_port(address.to_string(), target.port), target.host,
+                                 target.priority, target.weight});
+      if (!ec) contents += " " + out.addresses.back().address;
     }
   }
   out.fingerprint = config::hash_name(contents) | 1;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -45,7 +45,7 @@
 }
 ResolvedAddresses dns_answer(std::initializer_list<int> addresses) {
   ResolvedAddresses answer;
-  for (int n : addresses) answer.named.push_back(dns_address(n));
+  for (int n : addresses) answer.addresses.push_back(dns_address(n));
   return answer;
 }
 SourceSpec dns_source(const std::string& name) {
@@ -212,11 +212,11 @@
 void groups_spill_a_share_of_the_traffic() {
   TestMerger test;
   ResolvedAddresses answer;
-  for (int n = 1; n <= 10; ++n) answer.named.push_back(dns_address(n, 1));
-  for (int n = 11; n <= 15; ++n) answer.named.push_back(dns_address(n, 2));
+  for (int n = 1; n <= 10; ++n) answer.addresses.push_back(dns_address(n, 1));
+  for (int n = 11; n <= 15; ++n) answer.addresses.push_back(dns_address(n, 2));
   test.merger.apply_dns_answer(test.now, "a", answer);
   CHECK(test.clause(11) == Clause::standby && test.merger.traffic_shares().at(1) == 1.0);
-  for (int n = 1; n <= 4; ++n) answer.named[n - 1].weight = 0;  // 6 of 10 are ready: below spill_below
+  for (int n = 1; n <= 4; ++n) answer.addresses[n - 1].weight = 0;  // 6 of 10 are ready: below spill_below
   test.merger.apply_dns_answer(test.now, "a", answer);
   CHECK(test.clause(11) == Clause::reported && test.merger.traffic_shares().at(1) == 0.75);
   double first = 0.0, second = 0.0;
@@ -225,7 +225,7 @@
   CHECK(std::abs(second / (first + second) - 0.25) < 1e-9);
   // While the ready fraction alternates around the threshold, the share does not move again.
   const auto flap = [&](int ready) {
-    for (int n = 1; n <= 10; ++n) answer.named[n - 1].weight = n > 10 - ready ? 1 : 0;
+    for (int n = 1; n <= 10; ++n) answer.addresses[n - 1].weight = n > 10 - ready ? 1 : 0;
     test.now += kSecond;
     test.merger.apply_dns_answer(test.now, "a", answer);
   };
@@ -242,7 +242,7 @@
   test.pass(20 * kSecond);
   CHECK(test.merger.traffic_shares().at(1) == 1.0 && test.clause(11) == Clause::standby);
   for (int n = 1; n <= 10; ++n)
-    answer.named[n - 1].weight = 0;  // if all weights are 0, they have no meaning (RFC 2782)
+    answer.addresses[n - 1].weight = 0;  // if all weights are 0, they have no meaning (RFC 2782)
   test.merger.apply_dns_answer(test.now, "a", answer);
   CHECK(test.health(1) == Health::ready);
 }
@@ -250,7 +250,7 @@
 void weights_are_sizes() {
   TestMerger test;
   ResolvedAddresses answer;
-  answer.named = {dns_address(1, 0, 10), dns_address(2, 0, 30), dns_address(3, 0, 20)};
+  answer.addresses = {dns_address(1, 0, 10), dns_address(2, 0, 30), dns_address(3, 0, 20)};
   test.merger.apply_dns_answer(test.now, "a", answer);
   CHECK(test.size(1) == 0.5 && test.size(2) == 1.5 && test.size(3) == 1.0);
 }
@@ -318,7 +318,7 @@
     std::map<int, ReportedState> states;
     for (int n = 1; n <= 6; ++n) {
       if ((bits >> (n - 1) & 1) != 0) {
-        answer.named.push_back(dns_address(n));
+        answer.addresses.push_back(dns_address(n));
         states[n] = ReportedState::ready;
       }
     }
@@ -395,7 +395,7 @@
     for (const Step& step : *histories()) {  // within confirm_delay
       ResolvedAddresses answer;
       for (int n = 1; n <= 6; ++n) {
-        if ((std::get<2>(step) >> (n - 1) & 1) != 0) answer.named.push_back(dns_address(n));
+        if ((std::get<2>(step) >> (n - 1) & 1) != 0) answer.addresses.push_back(dns_address(n));
       }
       test.now += 20 * core::kMilli;
       if (test.now > 120 * kSecond) break;
--- a/tests/recordings/machine_recording_test.cpp
+++ b/tests/recordings/machine_recording_test.cpp
@@ -294,9 +294,9 @@
     const std::uint64_t one_missing_in = random_.one_in(8) ? 2 : 12;
     for (std::uint64_t n = 1; n < kAddresses; n += random_.between(1, 4)) {
       if (random_.one_in(one_missing_in)) continue;
-      answer.named.push_back({address(n), "h" + std::to_string(n) + ".",
-                              static_cast<std::uint16_t>(random_.one_in(3) ? 10 : 0),
-                              static_cast<std::uint16_t>(random_.below(5))});
+      answer.addresses.push_back({address(n), "h" + std::to_string(n) + ".",
+                                  static_cast<std::uint16_t>(random_.one_in(3) ? 10 : 0),
+                                  static_cast<std::uint16_t>(random_.below(5))});
     }
     if (random_.one_in(10))
       answer.unresolved.push_back("h" + std::to_string(random_.between(1, kAddresses)) + ".");
