--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -31,7 +31,7 @@
     for (const dns::Target& target : answer.targets) {
       dns::SrvAnswer one;
       one.targets = {target};
-      for (const auto& dns_address : endpoint_sources::facts(one).addresses) {
+      for (const auto& dns_address : endpoint_sources::resolved_addresses(one).addresses) {
         if (dns_address.address == address)
           left = std::max(left, std::min(answer.expires, target.expires) - now);
       }
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -119,7 +119,7 @@
   const SourceSpec* spec = find_by_dns_name(name);
   // A stale answer is one from the cache whose lifetime has ended; failed() reports that query's failure.
   if (spec == nullptr || answer.stale) return;
-  merger_.apply_dns_answer(clock_.now(), spec->name, facts(answer));
+  merger_.apply_dns_answer(clock_.now(), spec->name, resolved_addresses(answer));
   publish();
 }
 
--- a/src/endpoint_sources/source_settings.cpp
+++ b/src/endpoint_sources/source_settings.cpp
@@ -75,7 +75,7 @@
   return out;
 }
 
-ResolvedAddresses facts(const dns::SrvAnswer& answer) {
+ResolvedAddresses resolved_addresses(const dns::SrvAnswer& answer) {
   ResolvedAddresses out;
   std::string contents = answer.why;  // hashed to the fingerprint
   for (const dns::Target& target : answer.targets) {
--- a/src/endpoint_sources/source_settings.h
+++ b/src/endpoint_sources/source_settings.h
@@ -21,7 +21,7 @@
                                 const std::vector<std::string>& kinds, std::string& error);
 
 // Flattens a DNS answer to addresses.
-ResolvedAddresses facts(const dns::SrvAnswer& answer);
+ResolvedAddresses resolved_addresses(const dns::SrvAnswer& answer);
 // Returns host:port in canonical form, so that sources can be compared; text that is not a numeric address is
 // returned unchanged.
 std::string canonical_address(const std::string& text);
