--- a/src/commands/resolve.cpp
+++ b/src/commands/resolve.cpp
@@ -17,7 +17,7 @@
 
 // Answered or failed, each of them.
 bool all_heard(const EndpointSources& sources) {
-  const auto all = sources.membership().status(0);
+  const auto all = sources.merger().status(0);
   return std::all_of(all.begin(), all.end(),
                      [](const endpoint_sources::SourceStatus& s) { return s.answers + s.failures > 0; });
 }
@@ -73,16 +73,16 @@
 
   const core::Micros now = clock.now();
   bool all_current = true;
-  for (const auto& s : sources.membership().status(now)) {
+  for (const auto& s : sources.merger().status(now)) {
     all_current = all_current && s.state == std::string_view("current");
     std::printf("source %s: %s, %zu addresses%s%s\n", s.name.c_str(), s.state, s.names,
                 s.error.empty() ? "" : ", ", s.error.c_str());
   }
   std::printf("%-24s %-9s %-6s %-6s %-6s %-12s %s\n", "address", "takes", "size", "group", "ttl", "clause",
               "said");
-  for (const auto& [address, v] : sources.membership().merged_endpoints()) {
+  for (const auto& [address, v] : sources.merger().merged_endpoints()) {
     std::string said;
-    for (const auto& s : sources.membership().report_summaries(address, now))
+    for (const auto& s : sources.merger().report_summaries(address, now))
       said += (said.empty() ? "" : ", ") + s.source + ": " + s.what;
     const auto health = v.endpoint.replica.health;
     std::printf("%-24s %-9s %-6.2f %-6u %-6s %d %-10s %s\n", address.c_str(),
--- a/src/endpoint_sources/endpoint_sources.h
+++ b/src/endpoint_sources/endpoint_sources.h
@@ -34,7 +34,7 @@
 
   std::string status() const;  // the state of each source, on one line
   std::vector<std::pair<std::string, std::uint64_t>> counters() const;
-  const EndpointMerger& membership() const { return merger_; }
+  const EndpointMerger& merger() const { return merger_; }
   const dns::Resolver& resolver() const { return client_.resolver(); }
 
  private:
--- a/tests/measure/dns.cpp
+++ b/tests/measure/dns.cpp
@@ -149,7 +149,7 @@
       changed = true;
       server.zone("z0", make_zone(1, std::min(each, records) - 1, 3));
     }
-    if (whole_s == 0.0 && sources.membership().merged_endpoints().size() >= static_cast<std::size_t>(records))
+    if (whole_s == 0.0 && sources.merger().merged_endpoints().size() >= static_cast<std::size_t>(records))
       whole_s = std::chrono::duration<double>(Steady::now() - start).count();
   }
   std::sort(handlers.begin(), handlers.end());
