--- a/src/discovery/boot_clock.cpp
+++ b/src/discovery/boot_clock.cpp
@@ -6,7 +6,7 @@
 
 using core::Micros;
 
-void BootClock::put_right(Micros now, core::EndpointListUpdate& update) {
+void BootClock::convert_start_times(Micros now, core::EndpointListUpdate& update) {
   known(now, update);
   last_received_ = now;
 }
--- a/src/discovery/boot_clock.h
+++ b/src/discovery/boot_clock.h
@@ -23,7 +23,7 @@
   explicit BootClock(core::Micros unix_to_monotonic) : offset_(unix_to_monotonic) {}
 
   // Converts the start times of a received list from seconds of Unix time to seconds of the monotonic clock.
-  void put_right(core::Micros now, core::EndpointListUpdate& update);
+  void convert_start_times(core::Micros now, core::EndpointListUpdate& update);
   // The same for the list cached before the router's start. It may have any age, so it does not count
   // as the previous list in the rule above.
   void known(core::Micros now, core::EndpointListUpdate& update);
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -139,7 +139,7 @@
 bool Watch::apply(std::string_view text) {
   core::EndpointListUpdate update;
   if (!parse_list(text, names_, update)) return false;
-  boot_clock_.put_right(clock_.now(), update);
+  boot_clock_.convert_start_times(clock_.now(), update);
   if (update.kind == policy::ListKind::delta && have_list_ && update.version < version_) {
     // Late or repeated: the list held is newer.
     log::event(log::Level::warn, "endpoint_list_out_of_order", {{"rev", update.version}, {"held", version_}});
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -78,7 +78,7 @@
   news.entries.resize(1);
   news.entries[0].replica.id = id;
   news.entries[0].replica.started_at = static_cast<double>(unix_time) / 1e6;
-  clock.put_right(now, news);
+  clock.convert_start_times(now, news);
   return static_cast<Micros>(news.entries[0].replica.started_at * 1e6 + 0.5);
 }
 
