--- a/src/discovery/boot_clock.cpp
+++ b/src/discovery/boot_clock.cpp
@@ -7,11 +7,11 @@
 using core::Micros;
 
 void BootClock::convert_start_times(Micros now, core::EndpointListUpdate& update) {
-  known(now, update);
+  convert_cached_start_times(now, update);
   last_received_ = now;
 }
 
-void BootClock::known(Micros now, core::EndpointListUpdate& update) {
+void BootClock::convert_cached_start_times(Micros now, core::EndpointListUpdate& update) {
   if (starts_.size() > 4 * kMostEntries) starts_.clear();  // bounds the memory, as ids accumulate over months
   for (core::Endpoint& entry : update.entries) {
     if (entry.replica.started_at <= 0.0) continue;  // unknown: long ago
--- a/src/discovery/boot_clock.h
+++ b/src/discovery/boot_clock.h
@@ -26,7 +26,7 @@
   void convert_start_times(core::Micros now, core::EndpointListUpdate& update);
   // The same for the list cached before the router's start. It may have any age, so it does not count
   // as the previous list in the rule above.
-  void known(core::Micros now, core::EndpointListUpdate& update);
+  void convert_cached_start_times(core::Micros now, core::EndpointListUpdate& update);
   // Discovery sent data: the list held was still current at this time.
   void heard(core::Micros now) { last_received_ = now; }
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -169,7 +169,7 @@
 void Watch::known(const std::string& json) {
   core::EndpointListUpdate update;
   if (!json.empty() && parse_list(json, names_, update)) {
-    boot_clock_.known(clock_.now(), update);
+    boot_clock_.convert_cached_start_times(clock_.now(), update);
     version_ = update.version;
     have_list_ = true;
   }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -112,7 +112,7 @@
   old.entries.resize(1);
   old.entries[0].replica.id = 1;
   old.entries[0].replica.started_at = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
-  clock.known(kNow, old);
+  clock.convert_cached_start_times(kNow, old);
   CHECK(started_at(clock, kNow + core::kSecond, 1, kUnix + 50 * core::kSecond) == 50 * core::kSecond);
   // Nor is a start that discovery tells late, as far as it may fall behind.
   clock.heard(kNow + 20 * core::kSecond);
