--- a/src/discovery/boot_clock.h
+++ b/src/discovery/boot_clock.h
@@ -28,7 +28,7 @@
   // as the previous list in the rule above.
   void convert_cached_start_times(core::Micros now, core::EndpointListUpdate& update);
   // Discovery sent data: the list held was still current at this time.
-  void heard(core::Micros now) { last_received_ = now; }
+  void on_data_received(core::Micros now) { last_received_ = now; }
 
  private:
   struct Start {
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -84,7 +84,7 @@
     if (parser_.is_header_done()) {
       if (parser_.get().result() != http::status::ok)
         return fail("HTTP status " + std::to_string(parser_.get().result_int()));
-      owner_->boot_clock_.heard(owner_->clock_.now());
+      owner_->boot_clock_.on_data_received(owner_->clock_.now());
       // The time-out restarts when a list ends and when the next one begins.
       bool restart_timer = !documents_.begun();
       documents_.add(std::exchange(parser_.get().body(), {}));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -91,7 +91,7 @@
     discovery::BootClock clock(-kUnix - step);
     const Micros first = started_at(clock, kNow, 1, kUnix + 50 * core::kSecond);
     // It starts anew at 119 s, which is told at 120 s.
-    clock.heard(118 * core::kSecond);
+    clock.on_data_received(118 * core::kSecond);
     const Micros again = started_at(clock, 120 * core::kSecond, 1, kUnix + 119 * core::kSecond);
     const Micros off = again - 119 * core::kSecond;
     CHECK(again <= 120 * core::kSecond && std::abs(off) <= 3 * core::kSecond);
@@ -115,7 +115,7 @@
   clock.convert_cached_start_times(kNow, old);
   CHECK(started_at(clock, kNow + core::kSecond, 1, kUnix + 50 * core::kSecond) == 50 * core::kSecond);
   // Nor is a start that discovery tells late, as far as it may fall behind.
-  clock.heard(kNow + 20 * core::kSecond);
+  clock.on_data_received(kNow + 20 * core::kSecond);
   CHECK(started_at(clock, kNow + 21 * core::kSecond, 1, kUnix + kNow) == kNow);
 }
 
