--- a/src/discovery/documents.cpp
+++ b/src/discovery/documents.cpp
@@ -84,7 +84,7 @@
   }
 }
 
-std::optional<std::string> Documents::next() {
+std::optional<std::string> DocumentSplitter::next() {
   if (malformed_) return std::nullopt;
   if (scanned_ == 0) {
     std::size_t blank = 0;
--- a/src/discovery/documents.h
+++ b/src/discovery/documents.h
@@ -31,7 +31,7 @@
   bool in_string_ = false, escaped_ = false, in_scalar_ = false;
 };
 
-class Documents {
+class DocumentSplitter {
  public:
   // A longer document is treated as malformed. Enough for about 4,000 entries, indented; a parsed document
   // takes ten times its size.
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -57,7 +57,7 @@
       // handler can no longer be cancelled.
       const bool restarted = self->silence_timer_.expiry() > std::chrono::steady_clock::now();
       if (!ec && !restarted)
-        self->fail(std::string(self->documents_.begun() ? "a list was not completed" : "no data received") +
+        self->fail(std::string(self->splitter_.begun() ? "a list was not completed" : "no data received") +
                    " within " + std::to_string(span / core::kMilli) + " ms");
     });
   }
@@ -86,18 +86,18 @@
         return fail("HTTP status " + std::to_string(parser_.get().result_int()));
       owner_->boot_clock_.on_data_received(owner_->clock_.now());
       // The time-out restarts when a list ends and when the next one begins.
-      bool restart_timer = !documents_.begun();
-      documents_.add(std::exchange(parser_.get().body(), {}));
-      while (const std::optional<std::string> document = documents_.next()) {
+      bool restart_timer = !splitter_.begun();
+      splitter_.add(std::exchange(parser_.get().body(), {}));
+      while (const std::optional<std::string> document = splitter_.next()) {
         if (!apply_document(*document)) return;
         restart_timer = true;
       }
-      if (documents_.wrong())
+      if (splitter_.wrong())
         return fail("received bytes that are not a JSON object of at most " +
-                    std::to_string(Documents::kLongest) + " bytes");
+                    std::to_string(DocumentSplitter::kLongest) + " bytes");
       // Further bytes of one list do not restart the time-out: a list that was cut off could otherwise look
       // like one that continues for ever.
-      if (restart_timer || !documents_.begun()) restart_silence_timer(owner_->silence_.open);
+      if (restart_timer || !splitter_.begun()) restart_silence_timer(owner_->silence_.open);
     }
     if (parser_.is_done()) return fail("discovery ended the response");  // a watch normally has no end
     read();
@@ -133,7 +133,7 @@
   std::string request_;
   boost::beast::flat_buffer buffer_;
   http::response_parser<http::string_body> parser_;
-  Documents documents_;
+  DocumentSplitter splitter_;
 };
 
 bool Watch::apply(std::string_view text) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -40,7 +40,7 @@
 void lists_are_told_apart_whatever_their_pieces() {
   const std::string all = std::string("\n\n") + kLine + "\r\n\n" + kIndented + "\n" + kLine + "\n\n";
   for (std::size_t size = 1; size <= all.size(); ++size) {
-    discovery::Documents documents;
+    discovery::DocumentSplitter documents;
     std::vector<std::string> got;
     for (std::size_t at = 0; at < all.size(); at += size) {
       documents.add(std::string_view(all).substr(at, size));
@@ -55,7 +55,7 @@
 void torn_lists_are_noticed() {
   const std::string line = kLine;
   for (std::size_t torn = 1; torn < line.size(); ++torn) {
-    discovery::Documents documents;
+    discovery::DocumentSplitter documents;
     documents.add(line.substr(0, torn) + "\n" + line + "\n");
     while (documents.next()) {
     }
@@ -64,12 +64,12 @@
   }
   for (const char* text : {"nonsense", "[1]", "7", "{,}", "{\"a\" 1}", "{\"a\":1 2}", "{1:2}", "{\"a\":}",
                            "{\"a\":[1,]}", "{\"a\":1]", "{\"a\":1,}", "{\"a\":\"b\" \"c\"}"}) {
-    discovery::Documents documents;
+    discovery::DocumentSplitter documents;
     documents.add(text);
     CHECK(!documents.next().has_value() && documents.wrong());
   }
-  discovery::Documents endless;
-  endless.add("{\"a\":\"" + std::string(discovery::Documents::kLongest, 'x'));
+  discovery::DocumentSplitter endless;
+  endless.add("{\"a\":\"" + std::string(discovery::DocumentSplitter::kLongest, 'x'));
   CHECK(!endless.next().has_value() && endless.wrong());
 }
 
