--- a/src/discovery/documents.h
+++ b/src/discovery/documents.h
@@ -38,11 +38,11 @@
   static constexpr std::size_t kLongest = 2u << 20;
 
   void add(std::string_view bytes) { bytes_.append(bytes); }
-  // The next complete document; nullopt if more bytes are needed or the stream is malformed: see wrong().
+  // The next complete document; nullopt if more bytes are needed or the stream is malformed: see malformed().
   std::optional<std::string> next();
   // Whether a document has begun and not ended.
   bool begun() const { return scanned_ > 0; }
-  bool wrong() const { return malformed_ || bytes_.size() > kLongest; }
+  bool malformed() const { return malformed_ || bytes_.size() > kLongest; }
 
  private:
   std::string bytes_;        // from the first byte of the current document on
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -92,7 +92,7 @@
         if (!apply_document(*document)) return;
         restart_timer = true;
       }
-      if (splitter_.wrong())
+      if (splitter_.malformed())
         return fail("received bytes that are not a JSON object of at most " +
                     std::to_string(DocumentSplitter::kLongest) + " bytes");
       // Further bytes of one list do not restart the time-out: a list that was cut off could otherwise look
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -46,7 +46,7 @@
       documents.add(std::string_view(all).substr(at, size));
       while (const auto document = documents.next()) got.push_back(*document);
     }
-    CHECK(!documents.wrong() && got.size() == 3);
+    CHECK(!documents.malformed() && got.size() == 3);
     CHECK(got[0] == kLine && got[1] == kIndented && got[2] == kLine);
   }
 }
@@ -60,17 +60,17 @@
     while (documents.next()) {
     }
     // Behind an open bracket of entries the next list may pass for one of them; then it does not end.
-    CHECK(documents.wrong() || documents.begun());
+    CHECK(documents.malformed() || documents.begun());
   }
   for (const char* text : {"nonsense", "[1]", "7", "{,}", "{\"a\" 1}", "{\"a\":1 2}", "{1:2}", "{\"a\":}",
                            "{\"a\":[1,]}", "{\"a\":1]", "{\"a\":1,}", "{\"a\":\"b\" \"c\"}"}) {
     discovery::DocumentSplitter documents;
     documents.add(text);
-    CHECK(!documents.next().has_value() && documents.wrong());
+    CHECK(!documents.next().has_value() && documents.malformed());
   }
   discovery::DocumentSplitter endless;
   endless.add("{\"a\":\"" + std::string(discovery::DocumentSplitter::kLongest, 'x'));
-  CHECK(!endless.next().has_value() && endless.wrong());
+  CHECK(!endless.next().has_value() && endless.malformed());
 }
 
 Micros started_at(discovery::BootClock& clock, Micros now, core::ReplicaId id, Micros unix_time) {
