--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -325,7 +325,7 @@
   if (sources) {
     sources->start(config.known);
   } else {
-    watch.known(config.known);
+    watch.load_cached_list(config.known);
   }
 
   pcap::Replay replay(io, broker, clock);
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -166,7 +166,7 @@
       silence_(silence) {}
 Watch::~Watch() { subscribe(false); }
 
-void Watch::known(const std::string& json) {
+void Watch::load_cached_list(const std::string& json) {
   core::EndpointListUpdate update;
   if (!json.empty() && parse_list(json, names_, update)) {
     boot_clock_.convert_cached_start_times(clock_.now(), update);
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -50,7 +50,7 @@
 }
 
 void EndpointSources::start(const std::string& cached_list) {
-  if (uses_list_) watch_.known(cached_list);
+  if (uses_list_) watch_.load_cached_list(cached_list);
   core::EndpointListUpdate cached = merger_.full_list();
   merger_.take_changes();
   cached.kind = policy::ListKind::cached;
