--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -401,7 +401,7 @@
     use_keys(fresh_file.kserve(), std::move(keys), fresh_front, fresh_replica);
     if (sources && fresh_file.has_membership())
       sources->reload(fresh_file.membership(), std::move(fresh_specs));
-    watch.move(fresh.discovery);
+    watch.set_address(fresh.discovery);
     if (fleet_member) fleet_member->moved(fresh.discovery);
     if (handoff) handoff->set_discovery(fresh.discovery);
     const bool all = fresh.fixed == config.fixed &&
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -183,7 +183,7 @@
   return last_error_.empty() ? address + " has answered" : address + ": " + last_error_;
 }
 
-void Watch::move(config::HostPort to) {
+void Watch::set_address(config::HostPort to) {
   if (to.host == address_.host && to.port == address_.port) return;
   address_ = std::move(to);
   have_list_ = false;  // another service may have other versions, so request the complete list
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -38,7 +38,7 @@
   void subscribe(bool on) override;
   // Applies a reloaded address of discovery. If the watch is subscribed, it connects to the new address at
   // once, even if the module is waiting to retry. The list held stays in force until the answer.
-  void move(config::HostPort to);
+  void set_address(config::HostPort to);
   const config::HostPort& at() const { return address_; }
   // Called with the text of each list that was received and applied. after: the version held before; 0: the
   // list is complete.
