--- a/src/discovery/boot_clock.cpp
+++ b/src/discovery/boot_clock.cpp
@@ -12,7 +12,7 @@
 }
 
 void BootClock::convert_cached_start_times(Micros now, core::EndpointListUpdate& update) {
-  if (starts_.size() > 4 * kMostEntries) starts_.clear();  // bounds the memory, as ids accumulate over months
+  if (starts_.size() > 4 * kMaxEntries) starts_.clear();  // bounds the memory, as ids accumulate over months
   for (core::Endpoint& entry : update.entries) {
     if (entry.replica.started_at <= 0.0) continue;  // unknown: long ago
     const auto unix_time = static_cast<Micros>(entry.replica.started_at * 1e6);
--- a/src/discovery/entries.cpp
+++ b/src/discovery/entries.cpp
@@ -31,7 +31,7 @@
   const Json root = Json::parse(json, nullptr, false);
   if (!root.is_object()) return false;
   const auto targets = root.find("targets");
-  if (targets == root.end() || !targets->is_array() || targets->size() > kMostEntries) return false;
+  if (targets == root.end() || !targets->is_array() || targets->size() > kMaxEntries) return false;
   const auto all = root.find("all");
   const bool full = all != root.end() && all->is_boolean() && all->get<bool>();
   out.kind = full ? policy::ListKind::full : policy::ListKind::delta;
--- a/src/discovery/entries.h
+++ b/src/discovery/entries.h
@@ -18,7 +18,7 @@
 core::ReplicaId replica_id(std::string_view uid);
 
 // A list with more entries is rejected: it is not a plausible fleet and would exhaust the router's memory.
-inline constexpr std::size_t kMostEntries = 4096;
+inline constexpr std::size_t kMaxEntries = 4096;
 
 // Returns false if the JSON is not a list in discovery's format. Entries without a uid, an address or a known
 // state are omitted; out.unreadable has the ids of those with a uid. Start times stay in Unix time; BootClock
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -171,7 +171,7 @@
       names, odd));
   CHECK(odd.entries.empty() && odd.unreadable.size() == 2 && odd.unreadable[0] == discovery::replica_id("s"));
   std::string many = R"({"rev":9,"all":true,"targets":[)";
-  for (std::size_t i = 0; i <= discovery::kMostEntries; ++i) many += (i > 0 ? ",{}" : "{}");
+  for (std::size_t i = 0; i <= discovery::kMaxEntries; ++i) many += (i > 0 ? ",{}" : "{}");
   CHECK(!discovery::parse_list(many + "]}", names, odd));
 }
 
