--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -32,8 +32,9 @@
         BootClock boot_clock, Silence silence = {});
   ~Watch() override;
   void set_update_handler(UpdateHandler handler) { update_handler_ = std::move(handler); }
-  void load_cached_list(
-      const std::string& json);  // the cached list, or empty; the watch starts from its version
+  // Loads the list that the platform cached before the start, or an empty text. The watch starts from its
+  // version.
+  void load_cached_list(const std::string& json);
   // Called by the module, and again after a failure; the watch never retries by itself.
   void subscribe(bool on) override;
   // Applies a reloaded address of discovery. If the watch is subscribed, it connects to the new address at
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -51,7 +51,7 @@
 
 void EndpointMerger::configure(Micros now, Settings settings, std::vector<SourceSpec> specs) {
   settings_ = settings;
-  std::vector<Source> fresh;
+  std::vector<Source> configured;
   for (SourceSpec& spec : specs) {
     Source source;
     if (Source* old = find(spec.name); old != nullptr && old->spec.list == spec.list) {
@@ -69,15 +69,15 @@
       }
     }
     source.spec = std::move(spec);
-    fresh.push_back(std::move(source));
+    configured.push_back(std::move(source));
   }
   for (Source& old : sources_) {
     if (old.spec.name.empty()) continue;
     if (!old.leaving) old.remove_by = now + kSourceRemovalTimeout;
     old.leaving = true;
-    fresh.push_back(std::move(old));
+    configured.push_back(std::move(old));
   }
-  sources_ = std::move(fresh);
+  sources_ = std::move(configured);
   recompute(now);
 }
 
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -121,9 +121,9 @@
   // DNS names to query again, because their last answers removed too many addresses.
   std::vector<std::string> names_to_confirm(Micros now);
   const std::map<std::string, MergedEndpoint>& merged_endpoints() const { return merged_endpoints_; }
-  std::uint64_t generation() const {
-    return generation_;
-  }  // incremented whenever the merged endpoints are recomputed
+  // Incremented whenever the merged endpoints are recomputed.
+  std::uint64_t generation() const { return generation_; }
+  // What each source last reported on the address.
   std::vector<ReportSummary> report_summaries(const std::string& address, Micros now) const;
   std::vector<SourceStatus> status(Micros now) const;
   // The fraction of the traffic that each priority group gets.
