--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -225,9 +225,9 @@
     broker.on_endpoint_list_update(std::move(news));
   };
   if (sources) {
-    sources->tell(told);
+    sources->set_update_handler(told);
   } else {
-    watch.tell(told);
+    watch.set_update_handler(told);
   }
 
   http::ReplicaClientSettings http_settings;
@@ -325,7 +325,7 @@
   if (sources) {
     sources->start(config.known);
   } else {
-    watch.known(config.known);
+    watch.load_cached_list(config.known);
   }
 
   pcap::Replay replay(io, broker, clock);
@@ -401,7 +401,7 @@
     use_keys(fresh_file.kserve(), std::move(keys), fresh_front, fresh_replica);
     if (sources && fresh_file.has_membership())
       sources->reload(fresh_file.membership(), std::move(fresh_specs));
-    watch.move(fresh.discovery);
+    watch.set_address(fresh.discovery);
     if (fleet_member) fleet_member->moved(fresh.discovery);
     if (handoff) handoff->set_discovery(fresh.discovery);
     const bool all = fresh.fixed == config.fixed &&
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -40,13 +40,13 @@
 void lists_are_told_apart_whatever_their_pieces() {
   const std::string all = std::string("\n\n") + kLine + "\r\n\n" + kIndented + "\n" + kLine + "\n\n";
   for (std::size_t size = 1; size <= all.size(); ++size) {
-    discovery::Documents documents;
+    discovery::DocumentSplitter documents;
     std::vector<std::string> got;
     for (std::size_t at = 0; at < all.size(); at += size) {
       documents.add(std::string_view(all).substr(at, size));
       while (const auto document = documents.next()) got.push_back(*document);
     }
-    CHECK(!documents.wrong() && got.size() == 3);
+    CHECK(!documents.malformed() && got.size() == 3);
     CHECK(got[0] == kLine && got[1] == kIndented && got[2] == kLine);
   }
 }
@@ -55,22 +55,22 @@
 void torn_lists_are_noticed() {
   const std::string line = kLine;
   for (std::size_t torn = 1; torn < line.size(); ++torn) {
-    discovery::Documents documents;
+    discovery::DocumentSplitter documents;
     documents.add(line.substr(0, torn) + "\n" + line + "\n");
     while (documents.next()) {
     }
     // Behind an open bracket of entries the next list may pass for one of them; then it does not end.
-    CHECK(documents.wrong() || documents.begun());
+    CHECK(documents.malformed() || documents.begun());
   }
   for (const char* text : {"nonsense", "[1]", "7", "{,}", "{\"a\" 1}", "{\"a\":1 2}", "{1:2}", "{\"a\":}",
                            "{\"a\":[1,]}", "{\"a\":1]", "{\"a\":1,}", "{\"a\":\"b\" \"c\"}"}) {
-    discovery::Documents documents;
+    discovery::DocumentSplitter documents;
     documents.add(text);
-    CHECK(!documents.next().has_value() && documents.wrong());
+    CHECK(!documents.next().has_value() && documents.malformed());
   }
-  discovery::Documents endless;
-  endless.add("{\"a\":\"" + std::string(discovery::Documents::kLongest, 'x'));
-  CHECK(!endless.next().has_value() && endless.wrong());
+  discovery::DocumentSplitter endless;
+  endless.add("{\"a\":\"" + std::string(discovery::DocumentSplitter::kLongest, 'x'));
+  CHECK(!endless.next().has_value() && endless.malformed());
 }
 
 Micros started_at(discovery::BootClock& clock, Micros now, core::ReplicaId id, Micros unix_time) {
@@ -78,7 +78,7 @@
   news.entries.resize(1);
   news.entries[0].replica.id = id;
   news.entries[0].replica.started_at = static_cast<double>(unix_time) / 1e6;
-  clock.put_right(now, news);
+  clock.convert_start_times(now, news);
   return static_cast<Micros>(news.entries[0].replica.started_at * 1e6 + 0.5);
 }
 
@@ -91,7 +91,7 @@
     discovery::BootClock clock(-kUnix - step);
     const Micros first = started_at(clock, kNow, 1, kUnix + 50 * core::kSecond);
     // It starts anew at 119 s, which is told at 120 s.
-    clock.heard(118 * core::kSecond);
+    clock.on_data_received(118 * core::kSecond);
     const Micros again = started_at(clock, 120 * core::kSecond, 1, kUnix + 119 * core::kSecond);
     const Micros off = again - 119 * core::kSecond;
     CHECK(again <= 120 * core::kSecond && std::abs(off) <= 3 * core::kSecond);
@@ -112,10 +112,10 @@
   old.entries.resize(1);
   old.entries[0].replica.id = 1;
   old.entries[0].replica.started_at = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
-  clock.known(kNow, old);
+  clock.convert_cached_start_times(kNow, old);
   CHECK(started_at(clock, kNow + core::kSecond, 1, kUnix + 50 * core::kSecond) == 50 * core::kSecond);
   // Nor is a start that discovery tells late, as far as it may fall behind.
-  clock.heard(kNow + 20 * core::kSecond);
+  clock.on_data_received(kNow + 20 * core::kSecond);
   CHECK(started_at(clock, kNow + 21 * core::kSecond, 1, kUnix + kNow) == kNow);
 }
 
@@ -132,7 +132,7 @@
     watch = std::make_unique<discovery::Watch>(
         io, ports, config::HostPort{"127.0.0.1", acceptor.local_endpoint().port()}, discovery::Names{},
         discovery::BootClock(0), silence);
-    watch->tell([this](core::EndpointListUpdate news) { told.push_back(std::move(news)); });
+    watch->set_update_handler([this](core::EndpointListUpdate news) { told.push_back(std::move(news)); });
     watch->subscribe(true);
     acceptor.accept(peer);
     write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/tests/measure/dns.cpp
+++ b/tests/measure/dns.cpp
@@ -122,7 +122,7 @@
   const long before = resident_kb();
   endpoint_sources::EndpointSources sources(io, clock, watch, file, specs);
   std::size_t told = 0;
-  sources.tell([&told](core::EndpointListUpdate news) { told += news.entries.size(); });
+  sources.set_update_handler([&told](core::EndpointListUpdate news) { told += news.entries.size(); });
   sources.start("");
   std::vector<double> handlers;
   double at_first = 0.0, at_change = 0.0;
@@ -149,7 +149,7 @@
       changed = true;
       server.zone("z0", make_zone(1, std::min(each, records) - 1, 3));
     }
-    if (whole_s == 0.0 && sources.membership().verdicts().size() >= static_cast<std::size_t>(records))
+    if (whole_s == 0.0 && sources.merger().merged_endpoints().size() >= static_cast<std::size_t>(records))
       whole_s = std::chrono::duration<double>(Steady::now() - start).count();
   }
   std::sort(handlers.begin(), handlers.end());
