--- a/src/core/actions.h
+++ b/src/core/actions.h
@@ -1,5 +1,5 @@
-// What the decision module asks the core to do. The module's calls are only collected; the core executes
-// them, in order, once the module has seen everything that happened in the iteration.
+// The actions that the decision module requests from the core. The module's calls are only collected; the
+// core executes them, in order, after the module has handled all events and timers of the iteration.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 struct StartAttempt {
   RequestId request;
   ReplicaId replica;
-  double timeout_seconds;  // 0: until the client's deadline
+  double timeout_seconds;  // until the first event; 0: until the request's deadline
 };
 struct RejectRequest {
   RequestId request;
@@ -28,8 +28,8 @@
   AttemptId attempt;
 };
 struct SetModuleTimer {
-  double span_seconds;
-  std::uint64_t cookie;  // given back by Balancer::on_timer
+  double delay_seconds;
+  std::uint64_t cookie;  // passed back in Balancer::on_timer
 };
 struct SubscribeToList {
   bool on;
@@ -40,21 +40,21 @@
 
 class ActionCollector final : public policy::ActionSink {
  public:
-  // What was collected since the last call, in order.
+  // Returns the actions collected since the last call, in order.
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
-  void attempt(RequestId id, ReplicaId replica, double allow_for) override {
-    actions_.emplace_back(StartAttempt{id, replica, allow_for});
+  void attempt(RequestId id, ReplicaId replica, double timeout_seconds) override {
+    actions_.emplace_back(StartAttempt{id, replica, timeout_seconds});
   }
-  void reject(RequestId id, double not_before_for) override {
-    actions_.emplace_back(RejectRequest{id, not_before_for});
+  void reject(RequestId id, double retry_after_seconds) override {
+    actions_.emplace_back(RejectRequest{id, retry_after_seconds});
   }
   void fail(RequestId id) override { actions_.emplace_back(FailRequest{id}); }
   void stop_attempt(RequestId id, std::uint16_t attempt) override {
     actions_.emplace_back(StopAttempt{{id, attempt}});
   }
-  void set_timer(double span, std::uint64_t cookie) override {
-    actions_.emplace_back(SetModuleTimer{span, cookie});
+  void set_timer(double delay_seconds, std::uint64_t cookie) override {
+    actions_.emplace_back(SetModuleTimer{delay_seconds, cookie});
   }
   void subscribe(bool on) override { actions_.emplace_back(SubscribeToList{on}); }
 
--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-// A timeout that is cut to the client's deadline expires a little after it, as in the simulator: the module's
-// own timer for the deadline comes first, and the attempt then counts as cancelled, not as timed out.
+// An attempt timeout that is capped at the request's deadline expires this much after the deadline, as in the
+// simulator: the module's own deadline timer then expires first, and the attempt counts as cancelled rather
+// than timed out.
 constexpr Micros kTimeoutSlackAtDeadline = 5 * kMilli;
 
 }  // namespace
@@ -20,8 +21,8 @@
   const RunningAttempt running = context_.requests.find_running(id);
   if (!running || running.attempt->stopped) return;
   RequestState& request = *running.request;
-  const bool other_streams = request.streaming() && !request.streams(id);
-  if (request.closed() || other_streams) return cancel(id, running, Outcome::cancelled);
+  const bool other_attempt_streams = request.streaming() && !request.is_streaming_attempt(id);
+  if (request.closed() || other_attempt_streams) return cancel(id, running, Outcome::cancelled);
   if (!request.streaming()) {
     select_stream(id, request, *running.attempt);
     context_.timers.set(context_.now + context_.settings.stall_timeout, StallCheck{id});
@@ -39,14 +40,15 @@
   const RunningAttempt running = context_.requests.find_running(id);
   if (!running) return;
   RequestState& request = *running.request;
-  const bool empty_answer = event.outcome == Outcome::ok && !request.streaming() && !request.closed() &&
-                            !running.attempt->stopped && request.request->may_be_empty;
-  if (empty_answer) select_stream(id, request, *running.attempt);
+  const bool complete_without_events = event.outcome == Outcome::ok && !request.streaming() &&
+                                       !request.closed() && !running.attempt->stopped &&
+                                       request.request->may_be_empty;
+  if (complete_without_events) select_stream(id, request, *running.attempt);
   end(id, running, event.outcome, event.cached_tokens, std::move(event.report));
 }
 
-// A request that a replica cannot use is the client's fault. It counts as nothing against the replica, whose
-// health would sink under bad clients otherwise, and no other replica is asked.
+// A request that a replica rejects as invalid is the client's fault. The outcome is not counted against the
+// replica, which would otherwise look unhealthy because of faulty clients, and no other replica is tried.
 void AttemptHandler::handle(const AttemptRejected& event) {
   const AttemptId id = event.attempt;
   const RunningAttempt running = context_.requests.find_running(id);
@@ -61,21 +63,21 @@
 
 void AttemptHandler::handle_expired(const AttemptTimeout& timer) {
   const RunningAttempt running = context_.requests.find_running(timer.attempt);
-  // A stream that the client already reads has no timeout any more.
-  if (!running || running.attempt->stopped || running.request->streams(timer.attempt)) return;
+  // The timeout covers the time to the first event only; an attempt that already streams has none.
+  if (!running || running.attempt->stopped || running.request->is_streaming_attempt(timer.attempt)) return;
   cancel(timer.attempt, running, Outcome::timeout);
 }
 
-// A machine that vanished in the middle of an answer sends nothing, and TCP does not notice. The client is
-// better off with a broken stream, whose rest it can ask for, than with a silent one.
+// A machine that disappears in the middle of a response sends nothing, and TCP does not detect it. An aborted
+// stream serves the client better than a silent one: the client can resume it.
 void AttemptHandler::handle_expired(const StallCheck& timer) {
   const RunningAttempt running = context_.requests.find_running(timer.attempt);
   if (!running || running.request->closed()) return;
   const RequestState& request = *running.request;
-  const Micros silent_for = request.client_blocked ? 0 : context_.now - request.last_event_at;
+  const Micros idle_time = request.client_blocked ? 0 : context_.now - request.last_event_at;
   const Micros stall_timeout = context_.settings.stall_timeout;
-  if (silent_for < stall_timeout) {
-    return context_.timers.set(context_.now + stall_timeout - silent_for, StallCheck{timer.attempt});
+  if (idle_time < stall_timeout) {
+    return context_.timers.set(context_.now + stall_timeout - idle_time, StallCheck{timer.attempt});
   }
   ++context_.counters.streams_stalled;
   cancel(timer.attempt, running, Outcome::reset);
@@ -91,9 +93,9 @@
   if (request == nullptr) return;
   const AttemptId id{action.request, static_cast<std::uint32_t>(request->attempts.size())};
   request->attempts.push_back({.replica = action.replica, .started_at = context_.now});
-  const Micros left = request->deadline - context_.now;
-  if (request->closed() || request->streaming() || left <= 0) {
-    // Never sent; the module learns it in the next iteration.
+  const Micros remaining = request->deadline - context_.now;
+  if (request->closed() || request->streaming() || remaining <= 0) {
+    // The attempt is never sent; the module gets its outcome in the next iteration.
     context_.events.emplace_back(AttemptEnded{id, Outcome::moot, 0, {}});
     return;
   }
@@ -105,19 +107,19 @@
                         .replica = action.replica,
                         .took = context_.now - request->received_at});
   const bool until_deadline = action.timeout_seconds == 0.0;
-  const Micros allowed = until_deadline ? left : std::min(left, to_micros(action.timeout_seconds));
-  const Micros slack = allowed == left ? kTimeoutSlackAtDeadline : 0;
-  context_.timers.set(context_.now + allowed + slack, AttemptTimeout{id});
-  context_.replica_client(*request).start_attempt(id, action.replica, request->request, allowed);
+  const Micros timeout = until_deadline ? remaining : std::min(remaining, to_micros(action.timeout_seconds));
+  const Micros slack = timeout == remaining ? kTimeoutSlackAtDeadline : 0;
+  context_.timers.set(context_.now + timeout + slack, AttemptTimeout{id});
+  context_.replica_client(*request).start_attempt(id, action.replica, request->request, timeout);
 }
 
 void AttemptHandler::execute(const StopAttempt& action) {
   const AttemptId id = action.attempt;
   const RunningAttempt running = context_.requests.find_running(id);
-  if (!running || running.attempt->held || running.request->streams(id)) return;
+  if (!running || running.attempt->held || running.request->is_streaming_attempt(id)) return;
   running.attempt->stopped = true;
-  // The connection goes now. The module is notified in the next iteration, since it must not be called while
-  // its actions are executed.
+  // The replica client cancels the attempt now. The module gets the outcome in the next iteration, since it
+  // must not be called while its actions are executed.
   context_.replica_client(*running.request).cancel_attempt(id);
   context_.events.emplace_back(AttemptEnded{id, Outcome::cancelled, 0, {}});
 }
@@ -135,7 +137,7 @@
   }
 }
 
-// The client gets this attempt's answer, and no other's.
+// From here on the client gets the response of this attempt and of no other.
 void AttemptHandler::select_stream(AttemptId id, RequestState& request, const AttemptState& attempt) {
   request.streaming_attempt = static_cast<int>(id.attempt);
   const Micros latency = context_.now - attempt.started_at;
@@ -154,15 +156,16 @@
   end(id, running, outcome);
 }
 
-// Engines often finish what they have begun, though the client is gone. The attempt is cancelled now; that
-// its place at the replica is free the module learns after the hold, or at once in a drain.
+// Inference engines often finish a request that they have started, even though the client has disconnected.
+// The attempt is cancelled now; the module gets its outcome, and counts the replica's capacity as free, only
+// after the hold, or at once during a drain.
 void AttemptHandler::hold(AttemptId id, RunningAttempt running) {
   context_.replica_client(*running.request).cancel_attempt(id);
   running.attempt->stopped = running.attempt->held = true;
   ++context_.counters.attempts_held;
   context_.requests.drop_body(*running.request);
-  const Micros span = context_.lifecycle.draining() ? 0 : context_.settings.cancel_hold;
-  context_.timers.set(context_.now + span, CancelHoldExpiry{id});
+  const Micros hold_time = context_.lifecycle.draining() ? 0 : context_.settings.cancel_hold;
+  context_.timers.set(context_.now + hold_time, CancelHoldExpiry{id});
 }
 
 void AttemptHandler::end(AttemptId id, RunningAttempt running, Outcome outcome, std::uint32_t cached_tokens,
@@ -170,15 +173,15 @@
   RequestState& request = *running.request;
   AttemptState& attempt = *running.attempt;
   attempt.running = false;
-  const bool streams = request.streams(id);
-  // An answer that ended in the very iteration in which its attempt was stopped has reached nobody.
-  if (outcome == Outcome::ok && !streams) outcome = Outcome::cancelled;
+  const bool is_streaming = request.is_streaming_attempt(id);
+  // A response that completed in the iteration in which its attempt was stopped did not reach the client.
+  if (outcome == Outcome::ok && !is_streaming) outcome = Outcome::cancelled;
   const std::size_t index = static_cast<std::size_t>(outcome) % context_.counters.outcomes.size();
   ++context_.counters.outcomes[index];
   if (context_.shared_state != nullptr)
     context_.shared_state->on_attempt_ended(context_.now, attempt.replica, outcome);
   if (context_.trace) trace_end(id, attempt, kOutcomes[index], cached_tokens);
-  if (streams && !request.closed()) {
+  if (is_streaming && !request.closed()) {
     if (outcome == Outcome::ok) {
       responder_.finish(request);
     } else {
--- a/src/core/attempt_handler.h
+++ b/src/core/attempt_handler.h
@@ -1,6 +1,6 @@
-// Attempts: started and stopped for the decision module, and what becomes of them. Every attempt that the
-// module has asked for gets exactly one outcome, of which the module is notified, whatever became of its
-// request. On the core's thread only.
+// Starts and stops attempts for the decision module and handles their events, timeouts and outcomes. The
+// module is notified of exactly one outcome for every attempt that it requested, no matter how the request
+// ended. Used on the core's thread only.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +30,8 @@
   void execute(const StartAttempt& action);
   void execute(const StopAttempt& action);
 
-  // The client is gone: cancels all attempts that run, at once or, with BrokerSettings::cancel_hold, in a way
-  // that lets them count as work for a while.
+  // The client has disconnected: cancels all running attempts of the request. With
+  // BrokerSettings::cancel_hold they still count as their replicas' work until the hold expires.
   void cancel_all(RequestId id, std::uint32_t attempts);
 
  private:
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -31,8 +31,8 @@
 }
 
 void Broker::handle_events() {
-  // An event that comes in while these are handled (an attempt that fails at once, say) is for the next
-  // iteration.
+  // An event that arrives while these are handled (for example from an attempt that fails immediately) is
+  // left for the next iteration.
   std::deque<Event> events;
   events.swap(context_.events);
   for (Event& event : events) handle(event);
@@ -81,7 +81,7 @@
                  [this](const RejectRequest& a) { request_handler_.execute(a); },
                  [this](const FailRequest& a) { request_handler_.execute(a); },
                  [this](const SetModuleTimer& a) {
-                   context_.timers.set(context_.now + to_micros(a.span_seconds), ModuleTimer{a.cookie});
+                   context_.timers.set(context_.now + to_micros(a.delay_seconds), ModuleTimer{a.cookie});
                  },
                  [this](const SubscribeToList& a) { list_.subscribe(a.on); },
              },
@@ -102,7 +102,8 @@
                              std::shared_ptr<ResponseWriter> response_writer) {
   const RequestId id = context_.requests.reserve(request->trace_id);
   if (id == 0) {
-    ++context_.counters.answers_of(request->request_class).failed;  // the server tells the client
+    // The server sends the error to the client.
+    ++context_.counters.answers_of(request->request_class).failed;
     return 0;
   }
   context_.events.emplace_back(RequestReceived{id, std::move(request), std::move(response_writer)});
@@ -133,8 +134,8 @@
   context_.events.emplace_back(std::move(update));
 }
 
-void Broker::on_health_warning(ReplicaId replica, Micros span) {
-  context_.events.emplace_back(HealthWarning{replica, span});
+void Broker::on_health_warning(ReplicaId replica, Micros duration) {
+  context_.events.emplace_back(HealthWarning{replica, duration});
 }
 
 void Broker::drain(bool has_successor) {
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -1,15 +1,15 @@
-// The core of the router. It owns the requests in flight, their attempts, the timers and the process's phase,
-// and decides nothing about where a request goes or whether it is rejected: once an iteration of the event
-// loop it tells the decision module (policy::Balancer) what happened, and executes what the module asks for.
-// It knows no socket and no wire; those are behind the ports (core/ports.h).
+// The core of the router. It owns the requests in flight, their attempts, the timers and the process's phase.
+// It does not decide where a request goes or whether it is rejected: in each event loop iteration it reports
+// the events to the decision module (policy::Balancer) and executes the actions that the module requests. It
+// depends on no socket and no wire protocol; those are behind the ports (core/ports.h).
 //
-// Threading: all functions, and all calls that the Broker makes to its ports, are on one thread, the event
-// loop's. Times are microseconds on the monotonic clock. No function fails or throws of itself: what is not
-// known any more (a request that has ended, say) is passed over.
+// Threading: all functions, and all calls that the Broker makes to its ports, run on one thread, the event
+// loop's. Times are microseconds on the monotonic clock. No function reports errors or throws by itself:
+// calls and events that refer to something unknown (for example a request that has ended) are ignored.
 //
-// Parts: Broker, the order of one iteration; RequestHandler, AttemptHandler, FinalResponder, EndpointHandler
-// and StreamMigration, what is done with each event, timer and action; RequestTable, EndpointTable,
-// TimerQueue, Lifecycle and Counters, the state.
+// Parts: Broker runs the steps of an iteration in order; RequestHandler, AttemptHandler, FinalResponder,
+// EndpointHandler and StreamMigration handle the events, timers and actions; RequestTable, EndpointTable,
+// TimerQueue, Lifecycle and Counters hold the state.
 #pragma once
 
 #include <cstddef>
@@ -38,47 +38,46 @@
   using ProcessSnapshot = core::ProcessSnapshot;
   using MigratableStream = core::MigratableStream;
 
-  // clock and list are borrowed. seed: of the decision module's random draws.
+  // clock and list are borrowed. seed: for the decision module's random numbers.
   Broker(const BrokerSettings& settings, const policy::Settings& module, std::uint64_t seed, Clock& clock,
          EndpointList& list);
 
-  // Sets the replica client of a wire, which is borrowed. Before the first request of that wire.
+  // Sets the replica client of a wire, which is borrowed. To be called before the first request of that wire.
   void attach(Wire wire, ReplicaClient& replica_client);
-  // Sets who is told what the core does; an empty one tells nobody.
+  // Sets the listener that gets the trace events; an empty one turns tracing off.
   void trace(TraceListener listener) { context_.trace = std::move(listener); }
-  // Sets what the routers of the fleet share, which is borrowed; null: each router for itself.
+  // Sets the state shared by the routers of the fleet, which is borrowed; null: nothing is shared.
   void share(SharedStatePort* shared_state) { context_.shared_state = shared_state; }
 
-  // === Events: gathered, and handled in the next iteration ===
+  // === Events: queued, and handled in the next iteration ===
 
-  // A request that a server has read. Returns 0, and takes nothing, if an open request has the same trace id,
-  // as the replicas could not tell the two apart.
+  // A server has read a request. Returns 0, and does not accept the request, if an open request has the same
+  // trace id, as the replicas could not distinguish the two.
   RequestId on_request(std::shared_ptr<const Request> request,
                        std::shared_ptr<ResponseWriter> response_writer);
-  // A server had no room for a request of this class, and has rejected it. Only counted.
+  // A server had no memory or descriptors for a request of this class and has rejected it. Only counted.
   void on_request_shed(std::uint32_t request_class);
   void on_client_disconnected(RequestId id);
-  // The client, for which ResponseWriter::write_events had returned false, can be written to again.
+  // The client, for which ResponseWriter::write_events returned false, can be written to again.
   void on_client_writable(RequestId id);
-  // Whole events of an answer. The attempt whose first ones come first is the one whose answer the client
-  // gets.
+  // Complete events of a response. The client gets the response of the attempt whose events arrive first.
   void on_attempt_events(AttemptId id, std::string events);
-  // cached_tokens: prompt tokens that the replica had cached. report: its load report.
+  // cached_tokens: prompt tokens that the replica had cached. report: the replica's load report.
   void on_attempt_ended(AttemptId id, policy::Outcome outcome, std::uint32_t cached_tokens = 0,
                         std::vector<float> report = {});
-  // The replica says that the request itself is at fault; no other replica is asked.
+  // The replica has rejected the request as invalid; no other replica is tried.
   void on_attempt_rejected(AttemptId id);
-  // The last byte of an attempt is written; once for each. Only counted.
+  // The last byte of an attempt was written to its replica; called once per attempt. Only counted.
   void on_attempt_written() { ++context_.counters.attempts_written; }
   void on_endpoint_list_update(EndpointListUpdate update);
-  // Other routers have seen this replica fail: it is passed over for so long, as if it could not be reached.
-  void on_health_warning(ReplicaId replica, Micros span);
+  // Other routers have seen this replica fail: it is treated as unreachable for this duration.
+  void on_health_warning(ReplicaId replica, Micros duration);
 
   // === The event loop ===
 
-  // Handles the gathered events and the expired timers, and executes the module's actions.
+  // Handles the queued events and the expired timers, and executes the module's actions.
   void run_iteration();
-  // When the next iteration is due even if nothing happens: 0 if events are gathered, kNever if there is no
+  // When the next iteration is due even if no event arrives: 0 if events are queued, kNever if there is no
   // timer.
   Micros next_timer() const;
   bool has_work() const { return !context_.events.empty(); }
@@ -87,15 +86,15 @@
 
   Phase phase() const { return context_.lifecycle.phase(); }
   bool ready() const { return phase() == Phase::serving; }
-  // In a few words, while the phase is starting.
+  // A short text for the log, while the phase is starting.
   std::string not_ready_reason() const { return context_.endpoints.not_ready_reason(); }
-  // Graceful shutdown: finishes the requests in flight and those that still come, then stops. has_successor:
-  // another process serves, and answers migrate there once they have begun; requests that are partially read
-  // by now can be waited for.
+  // Graceful shutdown: finishes the requests in flight and those that still arrive, then stops.
+  // has_successor: another process serves, and streams migrate there once they have started, so there is time
+  // to wait for requests that are partially read by now.
   void drain(bool has_successor = false);
-  // Draining, and clients that connect now are still accepted.
+  // Whether the router is draining and still accepts clients that connect now.
   bool accepts_new_clients() const { return context_.lifecycle.accepts_new_clients(context_.now); }
-  // Requests that come now are taken, where there is memory for them.
+  // Whether a request that arrives now is accepted, if there is memory for it.
   bool accepts_requests() const { return context_.lifecycle.accepts_requests(context_.now); }
   // While draining: how many clients are in the middle of sending a request.
   void set_partially_read_requests(std::size_t count) {
@@ -104,41 +103,41 @@
 
   // === Configuration ===
 
-  // Settings of a reload (SIGHUP), for what happens from now on. See BrokerSettings.
+  // Applies the settings of a reload (SIGHUP) from now on. See BrokerSettings.
   void reload(Micros drain_grace, Micros answer_grace, Micros cancel_hold = 0);
-  // A reload whose file could not be used. Only counted.
+  // A reload was rejected because its file was invalid. Only counted.
   void reload_refused() { ++context_.counters.reloads_rejected; }
-  // Sets the budget for request bodies, in bytes, for what comes from now on.
+  // Sets the budget for request bodies, in bytes, for requests that arrive from now on.
   void body_budget(std::size_t bytes) { context_.settings.body_budget = bytes; }
 
   // === Hot restart ===
 
-  // What this process knows, for the one that takes its place.
+  // The state of this process, for its successor.
   ProcessSnapshot snapshot() const;
-  // Takes over what another process knew. same_list: versions of its endpoint list can be compared with those
-  // of ours. A list of ours that is as new stays in force, and each replica's retirement begins when either
-  // process first knew of it.
+  // Restores the state of another process. same_list: the versions of its endpoint list and of this process's
+  // list are comparable. This process's list stays in force if it is at least as new. A replica's retirement
+  // starts at the earlier of the times at which the two processes first learned of it.
   void adopt(ProcessSnapshot snapshot, bool same_list);
 
-  // The streams of this wire that can migrate now: none that has an event gathered for the next iteration.
+  // The streams of this wire that can migrate now: none with an event queued for the next iteration.
   std::vector<MigratableStream> migratable_streams(Wire wire) const {
     return stream_migration_.migratable_streams(wire);
   }
-  // Another process goes on with the stream. It is forgotten here, and no final response of it is counted.
+  // Another process continues the stream. It is removed here, and no final response is counted for it.
   void migrated_out(const MigratableStream& stream) { stream_migration_.migrated_out(stream); }
-  // Takes a stream from another process; its id and attempt are ignored. Returns its id here (its attempt is
-  // 0), or 0, with nothing taken, if an open request has the same trace id.
+  // Takes over a stream from another process; its id and attempt are ignored. Returns its id in this process
+  // (its attempt is 0). Returns 0, and does not take the stream, if an open request has the same trace id.
   RequestId migrated_in(const MigratableStream& stream) { return stream_migration_.migrated_in(stream); }
 
-  // === Figures ===
+  // === Statistics ===
 
   // Requests without a final response.
   std::size_t requests_in_flight() const { return context_.requests.open_requests(); }
   // Bytes of request bodies held.
   std::size_t body_bytes() const { return context_.requests.body_bytes(); }
-  // Replicas that are not gone, by the list held.
+  // Replicas that the current endpoint list has as ready or draining.
   std::size_t listed_replicas() const;
-  // Of them, those that the module now avoids or that drain.
+  // Of them, those that are draining or that the module currently avoids.
   std::size_t avoided_replicas() const;
   std::vector<ReplicaId> ready_replicas() const { return context_.endpoints.ready_replicas(); }
   const Counters& counters() const { return context_.counters; }
--- a/src/core/broker_context.h
+++ b/src/core/broker_context.h
@@ -1,5 +1,5 @@
-// What the handlers of the core share. Owned by the Broker, borrowed by the handlers, on the core's thread
-// only.
+// The state shared by the handlers of the core. Owned by the Broker and borrowed by the handlers. Used on the
+// core's thread only.
 #pragma once
 
 #include <array>
@@ -43,16 +43,16 @@
 
   BrokerSettings settings;
   policy::Balancer module;  // the decision module
-  Micros now;               // when the iteration began
+  Micros now;               // start time of the iteration
   RequestTable requests;
   EndpointTable endpoints;
   TimerQueue timers;
   Lifecycle lifecycle;
-  std::deque<Event> events;  // for the next iteration; a deque grows without moving what it holds
-  ActionCollector actions;   // what the module asked for in this iteration
+  std::deque<Event> events;  // for the next iteration; a deque grows without moving its elements
+  ActionCollector actions;   // requested by the module in this iteration
   Counters counters;
   std::array<ReplicaClient*, kWires> replica_clients{};  // borrowed; null until attached
-  SharedStatePort* shared_state = nullptr;               // borrowed; null: each router for itself
+  SharedStatePort* shared_state = nullptr;               // borrowed; null: nothing is shared
   TraceListener trace;                                   // empty: off
 };
 
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -8,7 +8,7 @@
 class Clock {
  public:
   virtual ~Clock() = default;
-  // The monotonic time; never less than what an earlier call gave.
+  // The monotonic time; never less than the result of an earlier call.
   virtual Micros now() = 0;
 };
 
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -3,8 +3,8 @@
 namespace flintglade::core {
 
 std::vector<NamedCounter> Counters::list() const {
-  std::vector<NamedCounter> out;
-  const auto add = [&out](const char* name, std::uint64_t value) { out.push_back({name, value}); };
+  std::vector<NamedCounter> counters;
+  const auto add = [&counters](const char* name, std::uint64_t value) { counters.push_back({name, value}); };
   add("requests", requests);
   add("client_retries", client_retries);
   add("requests_resumed", requests_resumed);
@@ -33,7 +33,7 @@
   add("slow_clients", slow_clients);
   add("iterations", iterations);
   add("longest_iteration_us", longest_iteration_us);
-  return out;
+  return counters;
 }
 
 }  // namespace flintglade::core
--- a/src/core/endpoint_handler.cpp
+++ b/src/core/endpoint_handler.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// As the log names them, by ListKind.
+// Names in the log, indexed by ListKind.
 constexpr std::array<const char*, 4> kListKindNames = {"changes", "known", "whole", "failed"};
 
 }  // namespace
@@ -20,7 +20,7 @@
   count_and_trace(update);
   context_.endpoints.record_update(update);
   context_.endpoints.append_missing(update);
-  put_stale_entries_aside(update);
+  defer_stale_entries(update);
   policy::EndpointListChange change;
   change.kind = update.kind;
   change.version = update.version;
@@ -34,7 +34,7 @@
 }
 
 void EndpointHandler::handle(const HealthWarning& event) {
-  context_.module.on_health_warning(context_.now_seconds(), event.replica, to_seconds(event.span));
+  context_.module.on_health_warning(context_.now_seconds(), event.replica, to_seconds(event.duration));
 }
 
 void EndpointHandler::handle_expired(StaleEntryExpiry& timer) {
@@ -54,12 +54,12 @@
   endpoints.record_restored_list();
   for (const ProcessSnapshot::RetiredReplica& retired : snapshot.retired) {
     if (!endpoints.merge_retirement(retired, own_list_prevails)) continue;
-    const Endpoint* held = endpoints.find(retired.replica);
-    if (held != nullptr) update_replica_clients(*held);
+    const Endpoint* endpoint = endpoints.find(retired.replica);
+    if (endpoint != nullptr) update_replica_clients(*endpoint);
   }
   if (!own_list_prevails) {
     EndpointListUpdate update;
-    update.kind = ListKind::cached;  // no subscription of ours has brought it: the module still asks for one
+    update.kind = ListKind::cached;  // not from this process's subscription: the module still subscribes
     update.version = snapshot.version;
     update.entries = std::move(snapshot.entries);
     handle(update);
@@ -79,7 +79,7 @@
                         .entries = update.entries.size()});
 }
 
-void EndpointHandler::put_stale_entries_aside(EndpointListUpdate& update) {
+void EndpointHandler::defer_stale_entries(EndpointListUpdate& update) {
   std::erase_if(update.entries, [&](const Endpoint& entry) {
     const Retirement* retirement =
         context_.endpoints.contradicting_retirement(entry, update.version, context_.now);
@@ -99,7 +99,7 @@
 }
 
 void EndpointHandler::serve_if_ready() {
-  if (context_.endpoints.was_answered() && context_.endpoints.count(Health::ready) > 0)
+  if (context_.endpoints.has_discovery_result() && context_.endpoints.count(Health::ready) > 0)
     context_.lifecycle.serve();
 }
 
--- a/src/core/endpoint_handler.h
+++ b/src/core/endpoint_handler.h
@@ -1,5 +1,5 @@
-// Carries each change of the endpoint list to whoever has to know it: the endpoint table, the replica
-// clients, the router's phase and the decision module, in this order. On the core's thread only.
+// Applies each change of the endpoint list to the endpoint table, the replica clients, the router's phase and
+// the decision module, in this order. Used on the core's thread only.
 #pragma once
 
 #include "core/broker_context.h"
@@ -12,15 +12,15 @@
 
   void handle(EndpointListUpdate& update);
   void handle(const HealthWarning& event);
-  // An entry that was put aside as stale is believed by now, unless its replica's retirement has ended
-  // meanwhile.
+  // Applies an entry that was deferred as stale, unless its replica's retirement has ended or started anew in
+  // the meantime.
   void handle_expired(StaleEntryExpiry& timer);
   // See Broker::adopt.
   void restore(ProcessSnapshot snapshot, bool same_list);
 
  private:
   void count_and_trace(const EndpointListUpdate& update);
-  void put_stale_entries_aside(EndpointListUpdate& update);
+  void defer_stale_entries(EndpointListUpdate& update);
   void update_replica_clients(const Endpoint& endpoint);
   void serve_if_ready();
 
--- a/src/core/endpoint_list.h
+++ b/src/core/endpoint_list.h
@@ -1,5 +1,5 @@
-// Port: service discovery, which brings the list of model replicas. Updates come in by
-// Broker::on_endpoint_list_update; called on the core's thread only.
+// Port: service discovery, which supplies the list of model replicas. Updates arrive through
+// Broker::on_endpoint_list_update. Called on the core's thread only.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +21,14 @@
   policy::ListKind kind = policy::ListKind::failed;
   std::uint32_t version = 0;  // of the list after the update; unused where kind is failed
   std::vector<Endpoint> entries;
-  // Named in the update, but by an entry that could not be read: what is held of them stays in force.
+  // Replicas whose entries in the update could not be parsed: their previous entries stay in force.
   std::vector<ReplicaId> unreadable;
 };
 
 class EndpointList {
  public:
   virtual ~EndpointList() = default;
-  // Asks for updates, or no longer. Asking again while subscribed means that the list is wanted anew.
+  // Starts or ends the subscription to updates. Subscribing again while subscribed requests the list again.
   virtual void subscribe(bool on) = 0;
 };
 
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -33,9 +33,10 @@
 }
 
 std::string EndpointTable::not_ready_reason() const {
-  if (!has_list_) return was_answered_ ? "no list yet: every ask has failed" : "no list yet";
-  if (endpoints_.empty()) return "the list is empty";
-  return "none of " + std::to_string(endpoints_.size()) + " replicas is ready";
+  if (!has_list_)
+    return has_discovery_result_ ? "no list yet: every request for it has failed" : "no list yet";
+  if (endpoints_.empty()) return "the endpoint list is empty";
+  return "none of " + std::to_string(endpoints_.size()) + " replicas in the endpoint list is ready";
 }
 
 Micros EndpointTable::no_new_after(ReplicaId id, Micros drain_grace) const {
@@ -44,7 +45,7 @@
 }
 
 void EndpointTable::record_update(const EndpointListUpdate& update) {
-  if (update.kind != ListKind::cached) was_answered_ = true;
+  if (update.kind != ListKind::cached) has_discovery_result_ = true;
   if (update.kind != ListKind::failed) version_ = update.version;
   if (update.kind == ListKind::full || update.kind == ListKind::delta) has_list_ = true;
 }
@@ -65,10 +66,10 @@
 const Retirement* EndpointTable::contradicting_retirement(const Endpoint& entry, std::uint32_t version,
                                                           Micros now) const {
   const Retirement* retirement = find_retirement(entry.replica.id);
-  const Endpoint* held = find(entry.replica.id);
-  if (retirement == nullptr || held == nullptr || entry.replica.health != Health::ready) return nullptr;
+  const Endpoint* current = find(entry.replica.id);
+  if (retirement == nullptr || current == nullptr || entry.replica.health != Health::ready) return nullptr;
   const bool stale = version < retirement->version && now < retirement->since + list_lag_ &&
-                     entry.replica.started_at <= held->replica.started_at;
+                     entry.replica.started_at <= current->replica.started_at;
   return stale ? retirement : nullptr;
 }
 
@@ -79,26 +80,26 @@
     retirements_.erase(id);
     return;
   }
-  // The start is that of the first list that said so.
+  // A retirement that is already known keeps its start time.
   Retirement& retirement = retirements_.try_emplace(id, Retirement{now, version}).first->second;
   retirement.version = std::max(retirement.version, version);
 }
 
 ProcessSnapshot EndpointTable::snapshot(Micros now) const {
-  ProcessSnapshot out;
-  out.version = version_;
+  ProcessSnapshot snapshot;
+  snapshot.version = version_;
   for (const auto& [id, endpoint] : endpoints_) {
     const Retirement* retirement = find_retirement(id);
     const bool recent = retirement != nullptr && now < retirement->since + list_lag_;
-    if (recent) out.retired.push_back({id, retirement->since, retirement->version});
-    if (recent || endpoint.replica.health != Health::gone) out.entries.push_back(endpoint);
+    if (recent) snapshot.retired.push_back({id, retirement->since, retirement->version});
+    if (recent || endpoint.replica.health != Health::gone) snapshot.entries.push_back(endpoint);
   }
-  return out;
+  return snapshot;
 }
 
 bool EndpointTable::merge_retirement(const ProcessSnapshot::RetiredReplica& retired, bool own_list_prevails) {
-  const Endpoint* held = find(retired.replica);
-  if (own_list_prevails && (held == nullptr || held->replica.health == Health::ready)) return false;
+  const Endpoint* current = find(retired.replica);
+  if (own_list_prevails && (current == nullptr || current->replica.health == Health::ready)) return false;
   Retirement& retirement =
       retirements_.try_emplace(retired.replica, Retirement{retired.since, retired.version}).first->second;
   retirement.since = std::min(retirement.since, retired.since);
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -1,5 +1,5 @@
-// What servers, replica clients and service discovery report to the core. Events are gathered as they come
-// and handled in that order in the next iteration of the event loop.
+// The events that servers, replica clients and service discovery report to the core. They are queued as they
+// arrive and handled in that order in the next event loop iteration.
 #pragma once
 
 #include <cstdint>
@@ -24,17 +24,17 @@
 struct ClientDisconnected {
   RequestId request;
 };
-// A client that had read too slowly can be written to again.
+// A client that read too slowly can be written to again.
 struct ClientWritable {
   RequestId request;
 };
-// A replica says that the request itself is at fault.
+// A replica has rejected the request as invalid.
 struct AttemptRejected {
   AttemptId attempt;
 };
 struct AttemptEvents {
   AttemptId attempt;
-  std::string bytes;  // whole events of the answer
+  std::string bytes;  // complete events of the response
 };
 struct AttemptEnded {
   AttemptId attempt;
@@ -42,10 +42,10 @@
   std::uint32_t cached_tokens;
   std::vector<float> report;  // the replica's load report
 };
-// Other routers have seen the replica fail: it is to be avoided for a while.
+// Other routers have seen the replica fail: it is to be avoided for this duration.
 struct HealthWarning {
   ReplicaId replica;
-  Micros span;
+  Micros duration;
 };
 
 using Event = std::variant<RequestReceived, ClientDisconnected, AttemptRejected, ClientWritable,
--- a/src/core/final_responder.cpp
+++ b/src/core/final_responder.cpp
@@ -17,12 +17,12 @@
   close_as(state, Outcome::refused)->reject(retry_after, late);
 }
 
-void FinalResponder::fail(RequestState& state, Failure why) {
+void FinalResponder::fail(RequestState& state, Failure reason) {
   ++context_.counters.requests_failed;
-  close_as(state, Outcome::failed)->fail(why);
+  close_as(state, Outcome::failed)->fail(reason);
 }
 
-void FinalResponder::reject_unseen(const RequestReceived& received, Micros retry_after) {
+void FinalResponder::reject_unadmitted(const RequestReceived& received, Micros retry_after) {
   ++context_.counters.answers_of(received.request->request_class).refused;
   context_.requests.release(received.request->trace_id);
   report(*received.request, Outcome::refused);
--- a/src/core/final_responder.h
+++ b/src/core/final_responder.h
@@ -1,5 +1,5 @@
-// Gives each request its one final response. The only place where final responses are counted and reported to
-// the shared state. On the core's thread only.
+// Sends each request its only final response. Final responses are counted and reported to the shared state
+// only here. Used on the core's thread only.
 #pragma once
 
 #include <memory>
@@ -12,17 +12,18 @@
  public:
   explicit FinalResponder(BrokerContext& context) : context_(context) {}
 
-  // Each for an open request, which is closed by it.
-  void finish(RequestState& state);        // its stream is complete
-  void abort_stream(RequestState& state);  // its stream broke
+  // Each of these takes an open request and closes it.
+  void finish(RequestState& state);        // the stream is complete
+  void abort_stream(RequestState& state);  // the stream broke
   void reject(RequestState& state, Micros retry_after, bool late);
-  void fail(RequestState& state, Failure why);
+  void fail(RequestState& state, Failure reason);
 
-  // For a request that the decision module has not seen and that is not in the table.
-  void reject_unseen(const RequestReceived& received, Micros retry_after);
+  // Rejects a request before its admission: it is neither in the request table nor known to the decision
+  // module.
+  void reject_unadmitted(const RequestReceived& received, Micros retry_after);
 
-  // Closes the request without a final response from this process: its client is gone, or another process
-  // goes on with it. The writer may be dropped.
+  // Closes the request without a final response from this process: its client has disconnected, or another
+  // process continues the stream. The caller may discard the returned writer.
   std::shared_ptr<ResponseWriter> close(RequestState& state);
 
  private:
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -1,5 +1,5 @@
-// Names by which the core, its ports and the decision module speak of requests, attempts and replicas. An id
-// is unique within one process and is not used again.
+// The ids of requests, attempts and replicas, used by the core, its ports and the decision module. An id is
+// unique within one process and is not reused.
 #pragma once
 
 #include <compare>
@@ -13,15 +13,15 @@
 using RequestId = policy::RequestId;  // 0: no request
 using ReplicaId = policy::ReplicaId;
 
-// One attempt to have a request served by a replica. Attempts of a request are numbered from 0.
+// One attempt to have a request served by a replica. The attempts of a request are numbered from 0.
 struct AttemptId {
   RequestId request = 0;
   std::uint32_t attempt = 0;
   auto operator<=>(const AttemptId&) const = default;
 };
 
-// The protocol over which a request came in, and over which its attempts go out: each has a server and a
-// replica client of its own.
+// The protocol in which a request arrives and in which its attempts are sent. Each wire has its own server
+// and replica client.
 enum class Wire : std::uint8_t { http = 0, kserve = 1 };
 inline constexpr std::size_t kWires = 2;
 
--- a/src/core/lifecycle.cpp
+++ b/src/core/lifecycle.cpp
@@ -44,16 +44,16 @@
 
 void Lifecycle::set_partially_read_requests(std::size_t count, Micros now) {
   partially_read_requests_ = count;
-  // They are rejected by now, and the process waits until those responses have reached their clients.
+  // These requests get rejected, and the process waits until the rejections have reached their clients.
   if (count > 0 && !accepts_requests(now)) last_final_response_at_ = std::min(now, drain_deadline());
 }
 
 Micros Lifecycle::next_timer(Micros now, bool idle) const {
-  Micros at = kNever;
-  if (draining() && idle) at = std::min(at, drained_at());
-  if (accepts_new_clients(now)) at = std::min(at, drain_started_at_ + settings_.drain_accept_window);
-  if (draining() && accepts_requests(now)) at = std::min(at, accepts_requests_until());
-  return at;
+  Micros next = kNever;
+  if (draining() && idle) next = std::min(next, drained_at());
+  if (accepts_new_clients(now)) next = std::min(next, drain_started_at_ + settings_.drain_accept_window);
+  if (draining() && accepts_requests(now)) next = std::min(next, accepts_requests_until());
+  return next;
 }
 
 Micros Lifecycle::accepts_requests_until() const {
@@ -61,8 +61,8 @@
          (has_successor_ ? settings_.drain_accept_window_with_successor : settings_.drain_accept_window);
 }
 
-// The grace after the last response is needed because a process that ends resets its connections: on a
-// rolling restart, responses that it had just written were lost on their way.
+// The grace after the last final response is needed because the connections of a process are reset when it
+// ends: during a rolling restart, responses that had just been written were lost in transit.
 Micros Lifecycle::drained_at() const {
   const Micros accepted_until = partially_read_requests_ > 0
                                     ? accepts_requests_until()
--- a/src/core/lifecycle.h
+++ b/src/core/lifecycle.h
@@ -1,6 +1,6 @@
 // The phases of the router's process: starting until a replica is ready, serving, draining after SIGTERM,
-// stopped. Says what a draining router still accepts and when it may stop. On the core's thread only; times
-// in microseconds.
+// stopped. Determines what a draining router still accepts and when it may stop. Used on the core's thread
+// only; times in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -21,27 +21,28 @@
   Phase phase() const { return phase_; }
   bool draining() const { return phase_ == Phase::draining; }
 
-  // From starting to serving; nothing in any other phase.
+  // Changes the phase from starting to serving; does nothing in any other phase.
   void serve();
-  // To draining; false if that has been done already. has_successor: another process serves, and answers
-  // migrate there once they have begun, so requests that are partially read by now can be waited for.
+  // Changes the phase to draining; returns false if the router is already draining or stopped. has_successor:
+  // another process serves, and streams migrate there once they have started, so there is time to wait for
+  // requests that are partially read by now.
   bool drain(Micros now, bool has_successor);
-  // To stopped, if the drain is over. idle: no request is in the table.
+  // Changes the phase to stopped if the drain is complete. idle: the request table is empty.
   void stop_if_drained(Micros now, bool idle);
 
   // kNever before the drain.
   Micros drain_started_at() const { return drain_started_at_; }
-  // In a drain: by when each request has its first event or a final response.
+  // In a drain: the time by which each request has its first event or a final response.
   Micros drain_deadline() const { return drain_started_at_ + settings_.drain_limit; }
-  // Whether a request that comes now is taken, memory permitting.
+  // Whether a request that arrives now is accepted, if there is memory for it.
   bool accepts_requests(Micros now) const;
-  // Draining, and clients that connect now are still accepted.
+  // Whether the router is draining and still accepts clients that connect now.
   bool accepts_new_clients(Micros now) const;
-  // How many clients are in the middle of sending a request; told while draining.
+  // Sets how many clients are in the middle of sending a request. Called while draining.
   void set_partially_read_requests(std::size_t count, Micros now);
-  // A final response was given, which takes some time to reach its client.
+  // A final response was written; it takes some time to reach its client.
   void on_final_response(Micros now) { last_final_response_at_ = now; }
-  // When the next of these times is over; kNever if none is waited for.
+  // When the next of these periods ends; kNever if none is running.
   Micros next_timer(Micros now, bool idle) const;
 
  private:
--- a/src/core/module_time.h
+++ b/src/core/module_time.h
@@ -1,4 +1,4 @@
-// The one place where the core's microseconds become the decision module's seconds, and back.
+// Conversion between the core's microseconds and the decision module's seconds, which is done only here.
 #pragma once
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 namespace flintglade::core {
 
-// The longest span that the module can ask for, in seconds; longer ones are cut to it.
-inline constexpr double kMaxModuleSpanSeconds = 4300.0;
+// The maximum duration that the module can request, in seconds; longer ones are capped to it.
+inline constexpr double kMaxModuleDurationSeconds = 4300.0;
 
 inline double to_seconds(Micros time) { return static_cast<double>(time) / 1e6; }
 
-// 0 for spans that are negative or no finite number.
+// 0 for durations that are negative, infinite or NaN.
 inline Micros to_micros(double seconds) {
   if (!std::isfinite(seconds) || seconds <= 0.0) return 0;
-  return static_cast<Micros>(std::min(seconds, kMaxModuleSpanSeconds) * 1e6);
+  return static_cast<Micros>(std::min(seconds, kMaxModuleDurationSeconds) * 1e6);
 }
 
 }  // namespace flintglade::core
--- a/src/core/overloaded.h
+++ b/src/core/overloaded.h
@@ -1,5 +1,5 @@
-// A visitor of a std::variant made of one lambda for each alternative (from the example at std::visit in
-// cppreference).
+// A visitor for a std::variant, built from one lambda for each alternative (after the cppreference example
+// for std::visit).
 #pragma once
 
 namespace flintglade::core {
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,5 +1,5 @@
-// All ports of the core: what it needs from its surroundings, and nothing of how that is done. A file that
-// uses one port includes that port's header instead.
+// All ports of the core: the interfaces through which it reaches the rest of the process, without their
+// implementations. A file that uses one port includes that port's header instead.
 #pragma once
 
 #include "core/clock.h"
--- a/src/core/process_snapshot.h
+++ b/src/core/process_snapshot.h
@@ -1,5 +1,5 @@
-// What one process of a router knows, for the process that takes its place (hot restart). Times are on the
-// monotonic clock, which both processes share. src/hot_restart/snapshot writes and reads it as bytes.
+// The state that one process of a router passes on to its successor (hot restart). Times are on the monotonic
+// clock, which both processes share. src/hot_restart/snapshot serializes and parses it.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
   struct RetiredReplica {
     ReplicaId replica = 0;
     Micros since = 0;
-    std::uint32_t version = 0;  // of the list that said so last
+    std::uint32_t version = 0;  // of the latest list that has the replica as draining or gone
   };
   std::uint32_t version = 0;  // of the endpoint list
   std::vector<Endpoint> entries;
--- a/src/core/replica_client.h
+++ b/src/core/replica_client.h
@@ -10,19 +10,20 @@
 
 namespace flintglade::core {
 
-// Each attempt is answered by one Broker::on_attempt_ended (or on_attempt_rejected), unless it is cancelled.
+// The client reports each attempt's end once, by Broker::on_attempt_ended or on_attempt_rejected, unless the
+// attempt is cancelled.
 class ReplicaClient {
  public:
   virtual ~ReplicaClient() = default;
-  // no_new_after: the time after which no first byte of an attempt may be written; kNever while the replica
-  // is ready.
+  // no_new_after: the time after which the first byte of an attempt may no longer be written; kNever while
+  // the replica is ready.
   virtual void update_endpoint(const Endpoint& endpoint, Micros no_new_after) = 0;
-  // Sends the request to the replica. patience: how long until its first event, at most.
+  // Sends the request to the replica. first_event_timeout: the maximum time until the first event.
   virtual void start_attempt(AttemptId id, ReplicaId replica, std::shared_ptr<const Request> request,
-                             Micros patience) = 0;
-  // Gives the attempt up without a report: no on_attempt_ended follows.
+                             Micros first_event_timeout) = 0;
+  // Cancels the attempt; no on_attempt_ended follows.
   virtual void cancel_attempt(AttemptId id) = 0;
-  // Stops reading the attempt's answer, or goes on.
+  // Stops or resumes reading the attempt's response.
   virtual void pause_attempt(AttemptId id, bool paused) = 0;
 };
 
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -1,5 +1,5 @@
-// A client's request as the core sees it: what the decision module needs to know of it, and its content,
-// which the core hands on unread. Immutable once it has been given to the Broker.
+// A client's request: the properties that the decision module uses, and the content, which the core passes on
+// without reading it. Immutable once it has been passed to the Broker.
 #pragma once
 
 #include <cstddef>
@@ -15,26 +15,26 @@
 
 struct Request {
   Wire wire = Wire::http;
-  std::uint32_t request_class = 0;  // index into the classes of the settings
-  std::uint32_t tenant = 0;         // index into the accounts of the settings
+  std::uint32_t request_class = 0;  // index into the configured classes
+  std::uint32_t tenant = 0;         // index into the configured accounts
   std::uint64_t session = 0;        // sticky key; 0: none
   std::uint64_t prefix = 0;         // id of the shared prompt prefix; 0: none
   double prompt_tokens = 0.0;
   double prefix_tokens = 0.0;
-  double output_cap = 0.0;    // most tokens that the answer may have
-  double work_hint = 0.0;     // the client's guess at the work, in microseconds; 0: none
-  bool is_retry = false;      // the client marks it as a retry of its own
-  bool resumed = false;       // it asks for the rest of a broken stream
-  bool may_be_empty = false;  // an answer that ends well without any event is a good one
+  double output_cap = 0.0;    // maximum number of tokens in the response
+  double work_hint = 0.0;     // the client's estimate of the work, in microseconds; 0: none
+  bool is_retry = false;      // marked by the client as a retry
+  bool resumed = false;       // resumes a broken stream
+  bool may_be_empty = false;  // a response that completes without any event is valid
   Micros patience = 0;        // how long the client waits for the first event
-  std::string trace_id;       // the client's own name for it; unique among the requests in flight
-  // Opaque to the core, and handed on to the replica client.
+  std::string trace_id;       // chosen by the client; unique among the requests in flight
+  // Opaque to the core; passed on to the replica client.
   std::string method;
   std::string target;
   std::string body;
-  std::vector<std::pair<std::string, std::string>> metadata;  // of the client's, for the replica
+  std::vector<std::pair<std::string, std::string>> metadata;  // from the client, for the replica
 
-  // What the request takes of the budget for request bodies, in bytes.
+  // The request's share of the budget for request bodies, in bytes.
   std::size_t bytes() const {
     std::size_t sum = body.size();
     for (const auto& [name, value] : metadata) sum += name.size() + value.size();
--- a/src/core/request_handler.cpp
+++ b/src/core/request_handler.cpp
@@ -8,10 +8,11 @@
 
 using QuotaStatus = SharedStatePort::QuotaStatus;
 
-// Retry-After of a request that is rejected for lack of memory, or because this process is about to end.
-constexpr Micros kRetryAfterUnseen = kSecond;
+// Retry-After of a request that is rejected before admission, for lack of memory or because this process is
+// about to end.
+constexpr Micros kRetryAfterUnadmitted = kSecond;
 
-policy::QuotaStatus to_module(QuotaStatus status) {
+policy::QuotaStatus to_policy_status(QuotaStatus status) {
   if (status == QuotaStatus::unknown) return policy::QuotaStatus::unknown;
   return status == QuotaStatus::over ? policy::QuotaStatus::over : policy::QuotaStatus::within;
 }
@@ -38,26 +39,27 @@
   submit(event.id, state, quota.status);
 }
 
-// The bodies of waiting requests are the router's largest use of memory: past the budget a new one is
-// rejected on the spot, rather than have the process killed with all it holds. So is one that comes on a kept
-// connection long into a drain: it could still be open when the process is killed, and would be lost.
+// The bodies of waiting requests are the router's largest use of memory. A request beyond the budget is
+// rejected at once; otherwise the process could be killed for lack of memory and lose all its requests. A
+// request that arrives on a keep-alive connection late in a drain is rejected too: it could still be open,
+// and would be lost, when the process is killed.
 bool RequestHandler::admit(const RequestReceived& event, SharedStatePort::QuotaDecision& quota) {
   Counters& counters = context_.counters;
   if (!context_.lifecycle.accepts_requests(context_.now)) {
     ++counters.requests_rejected;
-    responder_.reject_unseen(event, kRetryAfterUnseen);
+    responder_.reject_unadmitted(event, kRetryAfterUnadmitted);
     return false;
   }
   if (context_.requests.body_bytes() + event.request->bytes() > context_.settings.body_budget) {
     ++counters.requests_shed;
-    responder_.reject_unseen(event, kRetryAfterUnseen);
+    responder_.reject_unadmitted(event, kRetryAfterUnadmitted);
     return false;
   }
   if (context_.shared_state != nullptr)
     quota = context_.shared_state->check_quota(context_.now, *event.request);
   if (quota.status == QuotaStatus::refused) {
     ++counters.requests_over_quota;
-    responder_.reject_unseen(event, quota.retry_after);
+    responder_.reject_unadmitted(event, quota.retry_after);
     return false;
   }
   return true;
@@ -65,21 +67,21 @@
 
 void RequestHandler::submit(RequestId id, const RequestState& state, QuotaStatus quota) {
   const Request& request = *state.request;
-  policy::NewRequest query;
-  query.id = id;
-  query.request_class = request.request_class;
-  query.tenant = request.tenant;
-  query.key = request.session;
-  query.deadline = to_seconds(state.deadline);
-  query.prefix_id = request.prefix;
-  query.prompt_tokens = request.prompt_tokens;
-  query.prefix_tokens = request.prefix_tokens;
-  query.output_cap = request.output_cap;
-  query.hint = request.work_hint;
-  query.is_retry = request.is_retry;
-  query.resumed = request.resumed;
-  query.quota_status = to_module(quota);
-  context_.module.on_request(context_.now_seconds(), query, context_.actions);
+  policy::NewRequest new_request;
+  new_request.id = id;
+  new_request.request_class = request.request_class;
+  new_request.tenant = request.tenant;
+  new_request.key = request.session;
+  new_request.deadline = to_seconds(state.deadline);
+  new_request.prefix_id = request.prefix;
+  new_request.prompt_tokens = request.prompt_tokens;
+  new_request.prefix_tokens = request.prefix_tokens;
+  new_request.output_cap = request.output_cap;
+  new_request.hint = request.work_hint;
+  new_request.is_retry = request.is_retry;
+  new_request.resumed = request.resumed;
+  new_request.quota_status = to_policy_status(quota);
+  context_.module.on_request(context_.now_seconds(), new_request, context_.actions);
 }
 
 void RequestHandler::handle(const ClientDisconnected& event) {
@@ -89,8 +91,8 @@
   trace(TraceEvent::Kind::client_disconnected, event.request, *state);
   responder_.close(*state);
   context_.module.on_client_disconnected(context_.now_seconds(), event.request, context_.actions);
-  // Also the attempt whose answer streams, which the module may not cancel. Its replica may work on; the
-  // module is notified of its outcome all the same.
+  // This includes the streaming attempt, which the module may not cancel. Its replica may continue to work;
+  // the module is notified of the attempt's outcome in any case.
   attempts_.cancel_all(event.request, static_cast<std::uint32_t>(state->attempts.size()));
   context_.requests.mark_if_finished(event.request, *state);
 }
@@ -137,7 +139,7 @@
       context_.timers.set(context_.lifecycle.drain_deadline(), RequestDeadline{id});
       continue;
     }
-    // What its client gave up is held no longer.
+    // The client has disconnected: attempts on hold are released now.
     for (std::uint32_t attempt = 0; attempt < state.attempts.size(); ++attempt)
       context_.timers.set(context_.lifecycle.drain_started_at(), CancelHoldExpiry{{id, attempt}});
   }
--- a/src/core/request_handler.h
+++ b/src/core/request_handler.h
@@ -1,5 +1,5 @@
-// Requests: admitted or rejected as they come, and ended by their client, their deadline or the decision
-// module. What becomes of their attempts is in AttemptHandler. On the core's thread only.
+// Admits or rejects requests on arrival, and ends them when their client disconnects, their deadline expires
+// or the decision module decides so. AttemptHandler handles their attempts. Used on the core's thread only.
 #pragma once
 
 #include <string_view>
@@ -20,16 +20,15 @@
   void handle(const ClientDisconnected& event);
   void handle(const ClientWritable& event);
 
-  // The decision module owes every request a decision by its deadline. If there is none, the client gets the
-  // final response from here. In a drain that comes earlier, as the process may be killed before the
-  // deadline.
+  // The decision module has to decide on every request by its deadline. If it has not, the request fails
+  // here. In a drain this happens earlier, as the process may be killed before the deadline.
   void handle_expired(const RequestDeadline& timer);
 
   // Actions of the decision module.
   void execute(const RejectRequest& action);
   void execute(const FailRequest& action);
 
-  // A drain has begun: sets the timers that it needs for the requests in the table.
+  // A drain has started: sets its timers for the requests in the table.
   void on_drain_started();
 
  private:
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,5 +1,5 @@
-// The requests in flight, the attempts of each, their trace ids, and the memory that their bodies take. On
-// the core's thread only.
+// The requests in flight with their attempts and trace ids, and the memory used by their bodies. Used on the
+// core's thread only.
 #pragma once
 
 #include <cstddef>
@@ -17,35 +17,35 @@
 
 namespace flintglade::core {
 
-// One attempt, from when the decision module asks for it.
+// One attempt, from the time when the decision module requests it.
 struct AttemptState {
   ReplicaId replica = 0;
   Micros started_at = 0;
   bool running = true;   // the module has not been notified of its outcome
-  bool stopped = false;  // cancelled; its outcome is gathered, or held
-  bool held = false;     // cancelled by its client; counts as its replica's work until the hold expires
+  bool stopped = false;  // cancelled; its outcome is queued or on hold
+  bool held = false;     // cancelled by its client; still counts as its replica's work until the hold expires
 };
 
-// One request, until it has its final response and none of its attempts runs.
+// One request, until it has its final response and none of its attempts is running.
 struct RequestState {
   static constexpr int kNoAttempt = -1;
 
   std::shared_ptr<const Request> request;
-  std::shared_ptr<ResponseWriter> response_writer;  // null once the final response is given
+  std::shared_ptr<ResponseWriter> response_writer;  // null once the request is closed
   Micros received_at = 0;
   Micros deadline = 0;  // for the first event
   std::vector<AttemptState> attempts;
-  int streaming_attempt = kNoAttempt;  // the one whose answer the client gets, from its first event on
+  int streaming_attempt = kNoAttempt;  // the one whose response the client gets; set at its first event
   Micros last_event_at = 0;
-  bool client_blocked = false;  // the client reads too slowly: its attempt is paused
+  bool client_blocked = false;  // the client reads too slowly: the attempt is paused
 
   bool closed() const { return response_writer == nullptr; }
   bool streaming() const { return streaming_attempt != kNoAttempt; }
-  bool streams(AttemptId id) const { return streaming_attempt == static_cast<int>(id.attempt); }
+  bool is_streaming_attempt(AttemptId id) const { return streaming_attempt == static_cast<int>(id.attempt); }
   bool has_running_attempt() const;
 };
 
-// An attempt that runs, with its request; both null if there is none.
+// A running attempt and its request; both null if there is none.
 struct RunningAttempt {
   RequestState* request = nullptr;
   AttemptState* attempt = nullptr;
@@ -54,11 +54,11 @@
 
 class RequestTable {
  public:
-  // The id of a new request; 0 if an open request has this trace id.
+  // Reserves the id of a new request; returns 0 if an open request has this trace id.
   RequestId reserve(const std::string& trace_id);
-  // A reserved request that is not inserted: its trace id is free again.
+  // Frees the trace id of a reserved request that is not inserted.
   void release(const std::string& trace_id) { open_trace_ids_.erase(trace_id); }
-  // Inserts a reserved request, which is open from now on. Its body is not counted yet.
+  // Inserts a reserved request, which is open from now on. Its body is not counted; see count_body.
   RequestState& insert(RequestId id, std::shared_ptr<const Request> request,
                        std::shared_ptr<ResponseWriter> response_writer);
 
@@ -66,24 +66,24 @@
   RequestState* find(RequestId id);
   RunningAttempt find_running(AttemptId id);
 
-  // Closes the request: it is open no more, and the writer that is returned takes its final response.
+  // Closes the request, and returns the writer for its final response.
   std::shared_ptr<ResponseWriter> close(RequestState& state);
   // Marks the request for erase_finished, if it is closed and has no running attempt.
   void mark_if_finished(RequestId id, const RequestState& state);
-  // Erases marked requests, but not those for which the module has asked for an attempt meanwhile (in the
-  // very iteration in which the client went away, say). That attempt is never sent, but the module has to get
-  // its outcome.
+  // Erases the marked requests, except those for which the module has requested an attempt in the meantime
+  // (for example in the same iteration in which the client disconnected). Such an attempt is never sent, but
+  // the module has to get its outcome.
   void erase_finished();
 
   // Counts the request's body against the budget, until the request is erased or its body dropped.
   void count_body(const Request& request) { body_bytes_ += request.bytes(); }
-  // Frees the body; of the request only the wire is left.
+  // Frees the request's content; only the wire is kept.
   void drop_body(RequestState& state);
   std::size_t body_bytes() const { return body_bytes_; }
 
   // Requests without a final response.
   std::size_t open_requests() const { return open_requests_; }
-  // No request, nor any attempt of one that is closed.
+  // Whether the table has no request; a closed one stays until its attempts have ended.
   bool empty() const { return requests_.empty(); }
   // In no particular order.
   const std::unordered_map<RequestId, RequestState>& all() const { return requests_; }
--- a/src/core/stream_migration.cpp
+++ b/src/core/stream_migration.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The request that a gathered event is about; 0 if it is about none that the core has in its table.
+// The request that a queued event refers to; 0 if it refers to none in the request table.
 RequestId request_of(const Event& event) {
   if (const auto* events = std::get_if<AttemptEvents>(&event)) return events->attempt.request;
   if (const auto* ended = std::get_if<AttemptEnded>(&event)) return ended->attempt.request;
@@ -18,7 +18,7 @@
   return 0;
 }
 
-// Whether the attempt whose answer streams runs, and no other.
+// Whether the streaming attempt is the only running attempt.
 bool only_stream_runs(const RequestState& state) {
   const auto running = std::count_if(state.attempts.begin(), state.attempts.end(),
                                      [](const AttemptState& attempt) { return attempt.running; });
@@ -28,22 +28,23 @@
 }  // namespace
 
 std::vector<MigratableStream> StreamMigration::migratable_streams(Wire wire) const {
-  std::unordered_set<RequestId> with_events;
-  for (const Event& event : context_.events) with_events.insert(request_of(event));
-  std::vector<MigratableStream> out;
+  std::unordered_set<RequestId> requests_with_events;
+  for (const Event& event : context_.events) requests_with_events.insert(request_of(event));
+  std::vector<MigratableStream> streams;
   for (const auto& [id, state] : context_.requests.all()) {
     if (state.closed() || !state.streaming() || state.client_blocked) continue;
-    if (state.request->wire != wire || with_events.contains(id) || !only_stream_runs(state)) continue;
+    if (state.request->wire != wire || requests_with_events.contains(id) || !only_stream_runs(state))
+      continue;
     const auto attempt = static_cast<std::uint32_t>(state.streaming_attempt);
-    out.push_back({.id = id,
-                   .attempt = {id, attempt},
-                   .replica = state.attempts[attempt].replica,
-                   .received_at = state.received_at,
-                   .last_event_at = state.last_event_at,
-                   .request = state.request,
-                   .response_writer = state.response_writer});
+    streams.push_back({.id = id,
+                       .attempt = {id, attempt},
+                       .replica = state.attempts[attempt].replica,
+                       .received_at = state.received_at,
+                       .last_event_at = state.last_event_at,
+                       .request = state.request,
+                       .response_writer = state.response_writer});
   }
-  return out;
+  return streams;
 }
 
 void StreamMigration::migrated_out(const MigratableStream& stream) {
@@ -57,7 +58,7 @@
   result.id = stream.id;
   result.attempt = stream.attempt.attempt;
   result.replica = stream.replica;
-  result.outcome = policy::Outcome::moot;  // the module of this process learns nothing from how it ends
+  result.outcome = policy::Outcome::moot;  // this process's module does not learn from how the attempt ends
   result.closed = true;
   context_.module.on_attempt_result(context_.now_seconds(), result, context_.actions);
   context_.requests.mark_if_finished(stream.id, *running.request);
@@ -68,7 +69,7 @@
   if (id == 0) return 0;
   RequestState& state = context_.requests.insert(id, stream.request, stream.response_writer);
   state.received_at = stream.received_at;
-  state.deadline = kNever;  // of the first event, which it has
+  state.deadline = kNever;  // for the first event, which was already sent
   state.last_event_at = stream.last_event_at;
   state.streaming_attempt = 0;
   state.attempts.push_back({.replica = stream.replica, .started_at = stream.received_at});
--- a/src/core/stream_migration.h
+++ b/src/core/stream_migration.h
@@ -1,6 +1,6 @@
-// Answers in their middle that go on in another process of this router (hot restart). The sockets are handed
-// over by src/http/stream_migration; here is what the core forgets and learns of them. On the core's thread
-// only.
+// Streams that have started and continue in another process of this router (hot restart).
+// src/http/stream_migration transfers the sockets; this class removes the streams from the core of one
+// process and adds them to that of the other. Used on the core's thread only.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,8 @@
 
 namespace flintglade::core {
 
-// An answer in its middle: its first event is passed on, and one attempt of it runs.
+// A stream that has started: its first event was sent to the client, and only its streaming attempt is
+// running.
 struct MigratableStream {
   RequestId id = 0;
   AttemptId attempt;
@@ -27,7 +28,7 @@
   StreamMigration(BrokerContext& context, FinalResponder& responder)
       : context_(context), responder_(responder) {}
 
-  // See the functions of the same names of Broker.
+  // See the functions with the same names in Broker.
   std::vector<MigratableStream> migratable_streams(Wire wire) const;
   void migrated_out(const MigratableStream& stream);
   RequestId migrated_in(const MigratableStream& stream);
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,5 +1,6 @@
-// The core's timers, each of a type that says what is to be done when it expires. Timers are not cancelled:
-// who handles one looks whether it still matters. On the core's thread only; times in microseconds.
+// The core's timers; the type of a timer determines what is done when it expires. Timers are not cancelled:
+// the handler of an expired timer checks whether it still applies. Used on the core's thread only; times in
+// microseconds.
 #pragma once
 
 #include <cstdint>
@@ -15,31 +16,32 @@
 
 namespace flintglade::core {
 
-// The decision module asked for it.
+// A timer of the decision module.
 struct ModuleTimer {
   std::uint64_t cookie;
 };
-// The attempt has had its time to the first event.
+// The attempt's timeout for the first event.
 struct AttemptTimeout {
   AttemptId attempt;
 };
-// The request's deadline and the grace after it are over, or a drain can wait for it no longer.
+// The request's deadline and the grace after it have passed, or the drain deadline has.
 struct RequestDeadline {
   RequestId request;
 };
-// When the attempt's stream counts as stalled, unless an event has come meanwhile.
+// The attempt's stream counts as stalled, unless an event has arrived in the meantime.
 struct StallCheck {
   AttemptId attempt;
 };
-// The attempt that its client gave up no longer counts as its replica's work.
+// The end of the hold: the attempt, cancelled by its client, no longer counts as its replica's work.
 struct CancelHoldExpiry {
   AttemptId attempt;
 };
-// An older list said that a draining replica is ready. By now, that is believed; see EndpointTable.
+// The time to apply a deferred entry, in which an older list has a retired replica as ready; see
+// EndpointTable.
 struct StaleEntryExpiry {
   Endpoint entry;
-  std::uint32_t version;  // of the list that had the entry
-  Micros retired_since;   // the retirement that the entry contradicts
+  std::uint32_t version;  // of the list that contained the entry
+  Micros retired_since;   // start of the retirement that the entry contradicts
 };
 
 using Timer = std::variant<ModuleTimer, AttemptTimeout, RequestDeadline, StallCheck, CancelHoldExpiry,
@@ -48,7 +50,8 @@
 class TimerQueue {
  public:
   void set(Micros expires_at, Timer timer);
-  // Takes the earliest timer that has expired by now; timers of one time in the order in which they were set.
+  // Removes and returns the earliest expired timer; timers with equal times come in the order in which they
+  // were set.
   std::optional<Timer> pop_expired(Micros now);
   // When the earliest timer expires; kNever if there is none.
   Micros next_expiry() const { return timers_.empty() ? kNever : timers_.top().expires_at; }
--- a/src/core/trace.h
+++ b/src/core/trace.h
@@ -1,4 +1,4 @@
-// What the core did with each request and attempt, for whoever logs it. Off unless a listener is set.
+// Trace events: what the core did with each request and attempt, for logging. Off unless a listener is set.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
   enum class Kind : std::uint8_t {
     attempt_started,
     attempt_ended,
-    first_event,  // the client gets the answer of this attempt
+    first_event,  // the client gets the response of this attempt
     request_rejected,
     request_failed,
     endpoint_list_update,
@@ -26,17 +26,17 @@
   RequestId request = 0;
   std::uint32_t attempt = 0;
   ReplicaId replica = 0;
-  // The outcome, the kind of the list update or the client's trace id. Valid only while the listener runs.
+  // The outcome, the kind of the list update or the client's trace id. Valid only during the listener's call.
   std::string_view detail = {};
-  // Microseconds since the attempt was started or, for the end of a request, since the request came.
+  // Microseconds since the start of the attempt or, for events of a request, since the request was received.
   Micros took = 0;
   std::size_t entries = 0;          // entries of the endpoint list
   std::uint32_t cached_tokens = 0;  // at an attempt's end: prompt tokens that the replica had cached
   std::uint32_t replica_kind = 0;   // kind of the attempt's replica
-  std::uint32_t replica_zone = 0;   // and its zone
+  std::uint32_t replica_zone = 0;   // zone of the attempt's replica
 };
 
-// Called on the core's thread, within the step that it tells of.
+// Called on the core's thread, from within the step that the event describes.
 using TraceListener = std::function<void(const TraceEvent&)>;
 
 }  // namespace flintglade::core
--- a/tests/core/lifecycle_test.cpp
+++ b/tests/core/lifecycle_test.cpp
@@ -75,10 +75,10 @@
   EXPECT_EQ(core.broker->phase(), core::Phase::stopped);
 }
 
-// What comes 0.7 s after SIGTERM may be open at SIGKILL; SIGTERM may be seen kHoldUp late.
+// What comes 0.7 s after SIGTERM may be open at SIGKILL; SIGTERM may be seen kMaxSchedulingDelay late.
 TEST(Lifecycle, AcceptsNoRequestThatItMayNotFinish) {
   BrokerFixture core;
-  EXPECT_LT(core.limits.drain_accept_window + core::kHoldUp, 700 * core::kMilli);
+  EXPECT_LT(core.limits.drain_accept_window + core::kMaxSchedulingDelay, 700 * core::kMilli);
   core.broker->drain();
   core.pass_time(core.limits.drain_accept_window - 20 * core::kMilli);
   core::RequestId id = 0;
