--- a/tests/core/attempt_handler_test.cpp
+++ b/tests/core/attempt_handler_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of attempts: streams, stalls, cancellation.
+// How attempts proceed and end: streams, stalls and cancellation.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -14,7 +14,7 @@
 TEST(AttemptHandler, SetsNoDeadlineForEventsAfterTheFirst) {
   BrokerFixture core;
   core::RequestId id = 0;
-  const auto answer = core.send(id);
+  const auto response = core.send(id);
   core.broker->on_attempt_events({id, 0}, "a");
   for (int i = 0; i < 8; ++i) {
     core.pass_time(core::kSecond);
@@ -22,25 +22,25 @@
   }
   core.broker->on_attempt_ended({id, 0}, Outcome::ok);
   core.broker->run_iteration();
-  EXPECT_EQ(answer->text, "abbbbbbbb");
-  EXPECT_EQ(answer->end, "finish");
+  EXPECT_EQ(response->text, "abbbbbbbb");
+  EXPECT_EQ(response->end, "finish");
   EXPECT_EQ(core.ports.attempts.size(), 1u);
 }
 
 TEST(AttemptHandler, AbortsAStalledStreamButNotOneThatWaitsForItsClient) {
   BrokerFixture core;
   core::RequestId id = 0;
-  auto answer = core.send(id);
+  auto response = core.send(id);
   core.broker->on_attempt_events({id, 0}, "a");
   core.pass_time(2 * core.limits.stall_timeout);
-  EXPECT_EQ(answer->end, "break");
+  EXPECT_EQ(response->end, "break");
   EXPECT_EQ(core.ports.cancelled.size(), 1u);
   EXPECT_EQ(core.broker->counters().streams_stalled, 1u);
-  answer = core.send(id);
-  answer->slow = true;
+  response = core.send(id);
+  response->slow = true;
   core.broker->on_attempt_events({id, 0}, "a");
   core.pass_time(2 * core.limits.stall_timeout);
-  EXPECT_TRUE(answer->end.empty());
+  EXPECT_TRUE(response->end.empty());
   ASSERT_EQ(core.ports.paused, std::vector<bool>{true});
   core.broker->on_client_writable(id);
   core.broker->run_iteration();
@@ -50,26 +50,26 @@
 TEST(AttemptHandler, CancelsTheAttemptOfAClientThatDisconnects) {
   BrokerFixture core;
   core::RequestId id = 0;
-  const auto answer = core.send(id);
+  const auto response = core.send(id);
   core.broker->on_attempt_events({id, 0}, "a");
   core.broker->on_client_disconnected(id);
   core.broker->run_iteration();
-  EXPECT_TRUE(answer->end.empty());
+  EXPECT_TRUE(response->end.empty());
   EXPECT_EQ(core.ports.cancelled.size(), 1u);
   EXPECT_EQ(core.outcomes(Outcome::cancelled), 1u);
 }
 
-// A replica works on though its client is gone: its place is free for the module only after the hold, or at
-// once when the router itself shuts down.
+// A replica may keep working after its client has disconnected: the module counts the attempt's capacity as
+// free only after the hold, or at once when the router itself shuts down.
 TEST(AttemptHandler, HoldsACancelledAttemptAsItsReplicasWork) {
   BrokerFixture core;
   core.broker->reload(core.limits.drain_grace, core.limits.answer_grace, 2 * core::kSecond);
   core::RequestId id = 0;
-  const auto answer = core.send(id, 1000);
+  const auto response = core.send(id, 1000);
   core.broker->on_attempt_events({id, 0}, "a");
   core.broker->on_client_disconnected(id);
   core.broker->run_iteration();
-  EXPECT_TRUE(answer->end.empty());
+  EXPECT_TRUE(response->end.empty());
   EXPECT_EQ(core.ports.cancelled.size(), 1u);
   EXPECT_EQ(core.outcomes(Outcome::cancelled), 0u);
   core.pass_time(1900 * core::kMilli);
@@ -80,7 +80,7 @@
   core.send(id);
   core.broker->on_client_disconnected(id);
   core.broker->run_iteration();
-  core.broker->on_attempt_ended({id, 0}, Outcome::reset);  // its replica reports before the hold is over
+  core.broker->on_attempt_ended({id, 0}, Outcome::reset);  // the replica reports before the hold expires
   core.broker->run_iteration();
   EXPECT_EQ(core.outcomes(Outcome::reset), 1u);
   core.pass_time(3 * core::kSecond);
@@ -94,8 +94,8 @@
   EXPECT_EQ(core.broker->requests_in_flight(), 0u);
 }
 
-// A client that asks and disconnects within one iteration: the module has asked for an attempt, which is not
-// sent, and has to get its outcome. Seen without: the module counted such an attempt as running for good.
+// A client sends a request and disconnects within one iteration: the module has requested an attempt that is
+// never sent, and has to get its outcome. Without it, the module counted such an attempt as running for ever.
 TEST(AttemptHandler, ReportsAnAttemptThatWasNeverSent) {
   BrokerFixture core;
   const core::RequestId id =
@@ -107,7 +107,7 @@
   EXPECT_EQ(core.outcomes(Outcome::moot), 1u);
   core.broker->drain();
   core.pass_time(core.limits.drain_accept_window + core.limits.final_response_grace + 10 * core::kMilli);
-  EXPECT_EQ(core.broker->phase(), core::Phase::stopped);  // nothing is left in the table
+  EXPECT_EQ(core.broker->phase(), core::Phase::stopped);  // the request table is empty
 }
 
 }  // namespace
--- a/tests/core/broker_fixture.h
+++ b/tests/core/broker_fixture.h
@@ -1,4 +1,4 @@
-// A Broker on fake ports: time moves only when a test says so, and what the core asks of its surroundings is
+// A Broker on fake ports: time advances only when a test advances it, and the core's calls to its ports are
 // recorded.
 #pragma once
 
@@ -19,26 +19,25 @@
   Micros time = 1000 * core::kSecond;
   int subscribed = 0;
   std::vector<core::AttemptId> attempts, cancelled;
-  std::vector<core::AttemptId>& calls = attempts;  // the former name, for tests that have not been moved yet
   std::vector<bool> paused;
-  std::vector<Micros> patience;
-  Micros no_new_after = 0;  // as the latest update_endpoint said
+  std::vector<Micros> first_event_timeouts;  // of the attempts
+  Micros no_new_after = 0;                   // from the latest update_endpoint
   FakePorts() = default;
   FakePorts(const FakePorts&) = delete;
   FakePorts& operator=(const FakePorts&) = delete;
   Micros now() override { return time; }
   void subscribe(bool) override { ++subscribed; }
-  void update_endpoint(const core::Endpoint&, Micros limit) override { no_new_after = limit; }
+  void update_endpoint(const core::Endpoint&, Micros deadline) override { no_new_after = deadline; }
   void start_attempt(core::AttemptId id, core::ReplicaId, std::shared_ptr<const core::Request>,
-                     Micros for_first_event) override {
+                     Micros first_event_timeout) override {
     attempts.push_back(id);
-    patience.push_back(for_first_event);
+    first_event_timeouts.push_back(first_event_timeout);
   }
   void cancel_attempt(core::AttemptId id) override { cancelled.push_back(id); }
   void pause_attempt(core::AttemptId, bool on) override { paused.push_back(on); }
 };
 
-// What the client of one request got.
+// Records the response that the client of one request gets.
 struct FakeResponseWriter final : core::ResponseWriter {
   std::string text, end;
   bool slow = false;
@@ -52,7 +51,8 @@
   void fail(core::Failure) override { end += "fail"; }
 };
 
-// One class of streamed requests, three attempts at most, and one ready replica of id 1.
+// A broker with one class of streamed requests, at most three attempts per request, and one ready replica
+// with id 1.
 struct BrokerFixture {
   FakePorts ports;
   core::BrokerSettings limits;
@@ -71,7 +71,7 @@
     broker->attach(core::Wire::http, ports);
     list(policy::Health::ready, 1);
   }
-  // A full list of one replica.
+  // Delivers a full list with one replica.
   void list(policy::Health health, core::ReplicaId id, std::uint32_t version = 0, double started_at = 0.0) {
     core::EndpointListUpdate update;
     update.kind = policy::ListKind::full;
@@ -91,16 +91,16 @@
     request->trace_id = std::to_string(++sent);
     return request;
   }
-  // Sends a request with a body of so many bytes; id becomes its id.
+  // Sends a request with a body of this many bytes; id is set to its id.
   std::shared_ptr<FakeResponseWriter> send(core::RequestId& id, std::size_t body = 0) {
     const auto response = std::make_shared<FakeResponseWriter>();
     id = broker->on_request(make_request(body), response);
     broker->run_iteration();
     return response;
   }
-  // Iterations of 5 ms until the span is over.
-  void pass_time(Micros span) {
-    for (const Micros end = ports.time + span; ports.time < end; ports.time += 5 * core::kMilli)
+  // Advances the time by the duration, with one iteration every 5 ms.
+  void pass_time(Micros duration) {
+    for (const Micros end = ports.time + duration; ports.time < end; ports.time += 5 * core::kMilli)
       broker->run_iteration();
   }
   std::uint64_t outcomes(policy::Outcome outcome) const {
--- a/tests/core/endpoint_table_test.cpp
+++ b/tests/core/endpoint_table_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(table.no_new_after(1, 50), kNever);
 }
 
-TEST(EndpointTable, DoubtsAnOlderListUntilNoListCanBeThatOld) {
+TEST(EndpointTable, TreatsAnOlderListAsStaleUntilNoListCanBeThatOld) {
   EndpointTable table(kListLag);
   table.store(make_endpoint(1, Health::draining), 5, 100);
   const Endpoint ready = make_endpoint(1, Health::ready);
@@ -42,7 +42,7 @@
   EXPECT_EQ(table.contradicting_retirement(restarted, 4, 100), nullptr);
 }
 
-TEST(EndpointTable, AddsWhatAFullListLeavesOutAsGoneUnlessUnreadable) {
+TEST(EndpointTable, AddsReplicasMissingFromAFullListAsGoneUnlessUnreadable) {
   EndpointTable table(kListLag);
   table.store(make_endpoint(1, Health::ready), 1, 0);
   table.store(make_endpoint(2, Health::ready), 1, 0);
--- a/tests/core/lifecycle_test.cpp
+++ b/tests/core/lifecycle_test.cpp
@@ -12,7 +12,7 @@
   BrokerFixture core;
   core::RequestId id = 0;
   EXPECT_EQ(core.broker->phase(), core::Phase::serving);
-  const auto answer = core.send(id);
+  const auto response = core.send(id);
   core.broker->drain();
   core.pass_time(2 * core.limits.drain_accept_window);
   EXPECT_EQ(core.broker->phase(), core::Phase::draining);
@@ -20,15 +20,15 @@
   core.broker->on_attempt_ended({id, 0}, Outcome::ok);
   core.broker->run_iteration();
   EXPECT_EQ(core.broker->phase(), core::Phase::draining);
-  EXPECT_EQ(answer->end, "finish");
+  EXPECT_EQ(response->end, "finish");
   core.pass_time(core.limits.final_response_grace / 2);
   EXPECT_EQ(core.broker->phase(), core::Phase::draining);
   core.pass_time(core.limits.final_response_grace);
   EXPECT_EQ(core.broker->phase(), core::Phase::stopped);
 }
 
-// Where another process serves, a request that is partially read at SIGTERM is waited for and taken: its
-// answer can go on there. Where none does, it could still be open when the process is killed.
+// If a successor serves, the router waits for a request that is partially read at SIGTERM and accepts it: its
+// stream can migrate to the successor. Without a successor it could still be open when the process is killed.
 TEST(Lifecycle, WaitsForPartiallyReadRequestsIfThereIsASuccessor) {
   for (const bool has_successor : {true, false}) {
     BrokerFixture core;
@@ -38,23 +38,23 @@
     EXPECT_EQ(core.broker->phase() == core::Phase::stopped, !has_successor);
     if (!has_successor) continue;
     core::RequestId id = 0;
-    const auto answer = core.send(id);
-    EXPECT_TRUE(answer->end.empty());
+    const auto response = core.send(id);
+    EXPECT_TRUE(response->end.empty());
     EXPECT_EQ(core.ports.attempts.size(), 1u);
     core.broker->set_partially_read_requests(1);
     core.pass_time(500 * core::kMilli);
-    EXPECT_EQ(core.send(id)->end, "unavailable");  // by now it could be too late for its first event
+    EXPECT_EQ(core.send(id)->end, "unavailable");  // its first event could come too late by now
     core.broker->set_partially_read_requests(0);
     core.broker->on_attempt_events({1, 0}, "a");
     core.broker->on_attempt_ended({1, 0}, Outcome::ok);
     core.pass_time(core.limits.final_response_grace + 10 * core::kMilli);
-    EXPECT_EQ(answer->end, "finish");
+    EXPECT_EQ(response->end, "finish");
     EXPECT_EQ(core.broker->phase(), core::Phase::stopped);
   }
 }
 
-// Seen on a rolling restart of a full fleet: a request came 0.89 s after SIGTERM on a connection that had
-// been kept, waited for its first token, and was lost at SIGKILL.
+// During a rolling restart of a fully loaded fleet a request arrived on a keep-alive connection 0.89 s after
+// SIGTERM, waited for its first token, and was lost at SIGKILL.
 TEST(Lifecycle, AnswersEveryRequestBeforeTheProcessIsKilled) {
   BrokerFixture core;
   core::RequestId id = 0;
@@ -75,7 +75,8 @@
   EXPECT_EQ(core.broker->phase(), core::Phase::stopped);
 }
 
-// What comes 0.7 s after SIGTERM may be open at SIGKILL; SIGTERM may be seen kMaxSchedulingDelay late.
+// A request that arrives 0.7 s after SIGTERM may still be open at SIGKILL, and SIGTERM may be handled
+// kMaxSchedulingDelay late.
 TEST(Lifecycle, AcceptsNoRequestThatItMayNotFinish) {
   BrokerFixture core;
   EXPECT_LT(core.limits.drain_accept_window + core::kMaxSchedulingDelay, 700 * core::kMilli);
@@ -87,9 +88,9 @@
   EXPECT_EQ(core.send(id)->end, "unavailable");
 }
 
-// Nothing is written to a draining replica after its grace, though the process is held up for 0.15 s between
-// its look at the clock and the write; nothing at all where the grace is shorter than that.
-TEST(BrokerSettings, LeaveRoomForAHoldUpInTheWriteGrace) {
+// Nothing is written to a draining replica after its grace, even if the process is not scheduled for 0.15 s
+// between reading the clock and the write. If the grace is shorter than that, nothing is written at all.
+TEST(BrokerSettings, SubtractTheSchedulingDelayFromTheWriteGrace) {
   EXPECT_EQ(core::write_grace(250 * core::kMilli), 100 * core::kMilli);
   EXPECT_EQ(core::write_grace(100 * core::kMilli), 0);
 }
--- a/tests/core/request_handler_test.cpp
+++ b/tests/core/request_handler_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of requests: admission, deadlines and final responses.
+// Requests: admission, deadlines and final responses.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -14,17 +14,16 @@
 TEST(RequestHandler, GivesOneFinalResponse) {
   BrokerFixture core;
   core::RequestId id = 0;
-  const auto answer = core.send(id);
+  const auto response = core.send(id);
   EXPECT_EQ(core.ports.attempts.size(), 1u);
   core.broker->on_attempt_events({id, 0}, "a");
   core.broker->on_attempt_events({id, 0}, "b");
   core.broker->on_attempt_ended({id, 0}, Outcome::ok);
-  core.broker->on_attempt_ended({id, 0},
-                                Outcome::reset);  // a second outcome of the same attempt is passed over
+  core.broker->on_attempt_ended({id, 0}, Outcome::reset);  // a second outcome of an attempt is ignored
   core.broker->on_client_disconnected(id);
   core.broker->run_iteration();
-  EXPECT_EQ(answer->text, "ab");
-  EXPECT_EQ(answer->end, "finish");
+  EXPECT_EQ(response->text, "ab");
+  EXPECT_EQ(response->end, "finish");
   EXPECT_EQ(core.broker->requests_in_flight(), 0u);
   EXPECT_EQ(core.broker->counters().clients_disconnected, 0u);
 }
@@ -32,28 +31,29 @@
 TEST(RequestHandler, AnswersEveryRequestByItsDeadline) {
   BrokerFixture core;
   core::RequestId id = 0;
-  const auto answer = core.send(id);
+  const auto response = core.send(id);
   core.pass_time(5 * core::kSecond + core.limits.answer_grace);
-  EXPECT_EQ(answer->end, "late");
+  EXPECT_EQ(response->end, "late");
   EXPECT_EQ(core.broker->requests_in_flight(), 0u);
 }
 
-// Rejected by every replica there is: nothing can change for it, so its client is not kept waiting.
+// A request that every replica has rejected cannot be served any more, so the client gets its rejection at
+// once.
 TEST(RequestHandler, RejectsAtOnceWhereEveryReplicaIsFull) {
   BrokerFixture core;
   core::RequestId id = 0;
-  auto answer = core.send(id);
+  auto response = core.send(id);
   core.broker->on_attempt_ended({id, 0}, Outcome::full);
   core.broker->run_iteration();
-  EXPECT_EQ(answer->end, "unavailable");
+  EXPECT_EQ(response->end, "unavailable");
   EXPECT_EQ(core.broker->requests_in_flight(), 0u);
-  // Without any replica it is held in the hope of one, but not for long.
+  // Without any replica the request is held for a short time, in case one becomes ready.
   core.list(Health::gone, 1);
-  answer = core.send(id);
+  response = core.send(id);
   core.pass_time(500 * core::kMilli);
-  EXPECT_TRUE(answer->end.empty());
+  EXPECT_TRUE(response->end.empty());
   core.pass_time(2000 * core::kMilli);
-  EXPECT_EQ(answer->end, "unavailable");
+  EXPECT_EQ(response->end, "unavailable");
 }
 
 TEST(RequestHandler, ShedsRequestsBeyondTheBodyBudget) {
@@ -66,18 +66,18 @@
   EXPECT_EQ(core.broker->counters().requests_shed, 1u);
 }
 
-TEST(RequestHandler, TakesAnAnswerWithoutEventsOnlyWhereTheRequestAllowsIt) {
+TEST(RequestHandler, AcceptsAResponseWithoutEventsOnlyIfTheRequestAllowsIt) {
   for (const bool may_be_empty : {true, false}) {
     BrokerFixture core;
     const auto request = core.make_request();
     request->may_be_empty = may_be_empty;
-    const auto answer = std::make_shared<FakeResponseWriter>();
-    const core::RequestId id = core.broker->on_request(request, answer);
+    const auto response = std::make_shared<FakeResponseWriter>();
+    const core::RequestId id = core.broker->on_request(request, response);
     core.broker->run_iteration();
     core.broker->on_attempt_ended({id, 0}, Outcome::ok);
     core.broker->run_iteration();
-    EXPECT_EQ(answer->end == "finish", may_be_empty);
-    EXPECT_TRUE(answer->text.empty());
+    EXPECT_EQ(response->end == "finish", may_be_empty);
+    EXPECT_TRUE(response->text.empty());
     EXPECT_EQ(core.broker->counters().requests_served, may_be_empty ? 1u : 0u);
   }
 }
--- a/tests/core/timer_queue_test.cpp
+++ b/tests/core/timer_queue_test.cpp
@@ -13,7 +13,7 @@
   EXPECT_FALSE(timers.pop_expired(kNever).has_value());
 }
 
-TEST(TimerQueue, GivesNoTimerBeforeItExpires) {
+TEST(TimerQueue, ReturnsNoTimerBeforeItExpires) {
   TimerQueue timers;
   timers.set(10, ModuleTimer{1});
   EXPECT_EQ(timers.next_expiry(), 10);
@@ -22,7 +22,7 @@
   EXPECT_EQ(timers.next_expiry(), kNever);
 }
 
-TEST(TimerQueue, KeepsTheOrderOfTimersOfOneTime) {
+TEST(TimerQueue, KeepsTheOrderOfTimersWithEqualTimes) {
   TimerQueue timers;
   for (std::uint64_t cookie = 0; cookie < 20; ++cookie) timers.set(10, ModuleTimer{cookie});
   timers.set(5, ModuleTimer{100});
--- a/tests/core_stand_ins.h
+++ b/tests/core_stand_ins.h
@@ -1,4 +1,4 @@
-// Former names of tests/core/broker_fixture.h, for tests that have not been moved yet.
+// Short names for the test doubles in tests/core/broker_fixture.h, used by older tests.
 #pragma once
 
 #include "core/broker_fixture.h"
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,6 +1,6 @@
-// Events that cross: what happens where two of them meet in one iteration, or one comes between two steps of
-// another. The order is forced: by steps of the loop, by what is left unread in a socket, never by a pause.
-// docs/design/crossings.md says which cell of its table each test forces.
+// Races between events: two events in one event loop iteration, or one event between two steps of another.
+// The tests force the order by running the loop step by step or by leaving bytes unread in a socket, never by
+// timing. docs/design/crossings.md lists which cell of its table each test covers.
 #include <sys/socket.h>
 
 #include <boost/asio.hpp>
@@ -28,38 +28,41 @@
 using policy::Health;
 using policy::Outcome;
 
-constexpr int kPatienceMs = 5000;  // for what must come; no verdict hangs on less
+constexpr int kWaitTimeoutMs = 5000;  // for events that have to arrive; no result depends on a shorter wait
 
-// ---- lists ----------------------------------------------------------------------------------------------
+// ---- endpoint lists -------------------------------------------------------------------------------------
 
-constexpr char kLine[] = R"({"rev":7,"all":true,"targets":[{"uid":"a}\"{","endpoint":"h:1","n":-1.5e3}]})";
-constexpr char kIndented[] =
+constexpr char kSingleLineList[] =
+    R"({"rev":7,"all":true,"targets":[{"uid":"a}\"{","endpoint":"h:1","n":-1.5e3}]})";
+constexpr char kIndentedList[] =
     "{\n  \"rev\": 8,\n  \"all\": false,\n  \"targets\": [\n    {\n      \"uid\": \"b\"\n    },\n    {}\n"
     "  ]\n}";
 
-void lists_are_told_apart_whatever_their_pieces() {
-  const std::string all = std::string("\n\n") + kLine + "\r\n\n" + kIndented + "\n" + kLine + "\n\n";
-  for (std::size_t size = 1; size <= all.size(); ++size) {
+void documents_are_split_independently_of_chunk_boundaries() {
+  const std::string stream =
+      std::string("\n\n") + kSingleLineList + "\r\n\n" + kIndentedList + "\n" + kSingleLineList + "\n\n";
+  for (std::size_t size = 1; size <= stream.size(); ++size) {
     discovery::Documents documents;
-    std::vector<std::string> got;
-    for (std::size_t at = 0; at < all.size(); at += size) {
-      documents.add(std::string_view(all).substr(at, size));
-      while (const auto document = documents.next()) got.push_back(*document);
+    std::vector<std::string> lists;
+    for (std::size_t offset = 0; offset < stream.size(); offset += size) {
+      documents.add(std::string_view(stream).substr(offset, size));
+      while (const auto document = documents.next()) lists.push_back(*document);
     }
-    CHECK(!documents.wrong() && got.size() == 3);
-    CHECK(got[0] == kLine && got[1] == kIndented && got[2] == kLine);
+    CHECK(!documents.wrong() && lists.size() == 3);
+    CHECK(lists[0] == kSingleLineList && lists[1] == kIndentedList && lists[2] == kSingleLineList);
   }
 }
 
-// A list that was torn is noticed by what follows, and not taken for a part of the next one.
-void torn_lists_are_noticed() {
-  const std::string line = kLine;
-  for (std::size_t torn = 1; torn < line.size(); ++torn) {
+// A truncated list is detected by the bytes that follow it, and does not become a part of the next list.
+void truncated_lists_are_detected() {
+  const std::string line = kSingleLineList;
+  for (std::size_t length = 1; length < line.size(); ++length) {
     discovery::Documents documents;
-    documents.add(line.substr(0, torn) + "\n" + line + "\n");
+    documents.add(line.substr(0, length) + "\n" + line + "\n");
     while (documents.next()) {
     }
-    // Behind an open bracket of entries the next list may pass for one of them; then it does not end.
+    // After the open bracket of the entries the next list may parse as an entry; then the document never
+    // ends.
     CHECK(documents.wrong() || documents.begun());
   }
   for (const char* text : {"nonsense", "[1]", "7", "{,}", "{\"a\" 1}", "{\"a\":1 2}", "{1:2}", "{\"a\":}",
@@ -68,71 +71,71 @@
     documents.add(text);
     CHECK(!documents.next().has_value() && documents.wrong());
   }
-  discovery::Documents endless;
-  endless.add("{\"a\":\"" + std::string(discovery::Documents::kLongest, 'x'));
-  CHECK(!endless.next().has_value() && endless.wrong());
+  discovery::Documents too_long;
+  too_long.add("{\"a\":\"" + std::string(discovery::Documents::kLongest, 'x'));
+  CHECK(!too_long.next().has_value() && too_long.wrong());
 }
 
+// The monotonic start time of a replica that a list received now has with this Unix start time.
 Micros started_at(discovery::BootClock& clock, Micros now, core::ReplicaId id, Micros unix_time) {
-  core::EndpointListUpdate news;
-  news.entries.resize(1);
-  news.entries[0].replica.id = id;
-  news.entries[0].replica.started_at = static_cast<double>(unix_time) / 1e6;
-  clock.put_right(now, news);
-  return static_cast<Micros>(news.entries[0].replica.started_at * 1e6 + 0.5);
+  core::EndpointListUpdate update;
+  update.entries.resize(1);
+  update.entries[0].replica.id = id;
+  update.entries[0].replica.started_at = static_cast<double>(unix_time) / 1e6;
+  clock.put_right(now, update);
+  return static_cast<Micros>(update.entries[0].replica.started_at * 1e6 + 0.5);
 }
 
-// The wall clock may be stepped before the router's start: replicas that have just started are cold all the
-// same, and a start once told keeps its time.
-void starts_are_known_though_the_wall_clock_is_stepped() {
+// The wall clock may be stepped before the router starts: replicas that have just started still count as
+// cold, and a start time that was reported once does not change.
+void start_times_are_correct_despite_wall_clock_steps() {
   constexpr Micros kHour = 3600 * core::kSecond, kNow = 100 * core::kSecond;
   constexpr Micros kUnix = 1'700'000'000 * core::kSecond;  // Unix time when the monotonic clock began
   for (const Micros step : {Micros{0}, kHour, -kHour, 3 * core::kSecond, -3 * core::kSecond}) {
     discovery::BootClock clock(-kUnix - step);
     const Micros first = started_at(clock, kNow, 1, kUnix + 50 * core::kSecond);
-    // It starts anew at 119 s, which is told at 120 s.
+    // The replica restarts at 119 s; a list reports it at 120 s.
     clock.heard(118 * core::kSecond);
-    const Micros again = started_at(clock, 120 * core::kSecond, 1, kUnix + 119 * core::kSecond);
-    const Micros off = again - 119 * core::kSecond;
-    CHECK(again <= 120 * core::kSecond && std::abs(off) <= 3 * core::kSecond);
-    // By now the offset is right to some seconds for those that no list named before.
+    const Micros restarted = started_at(clock, 120 * core::kSecond, 1, kUnix + 119 * core::kSecond);
+    const Micros error = restarted - 119 * core::kSecond;
+    CHECK(restarted <= 120 * core::kSecond && std::abs(error) <= 3 * core::kSecond);
+    // By now the offset is accurate to a few seconds for replicas that were in no earlier list.
     const Micros other = started_at(clock, 121 * core::kSecond, 2, kUnix + 120 * core::kSecond);
     CHECK(other <= 121 * core::kSecond && other >= 116 * core::kSecond);
-    CHECK(started_at(clock, 130 * core::kSecond, 1, kUnix + 119 * core::kSecond) == again);
+    CHECK(started_at(clock, 130 * core::kSecond, 1, kUnix + 119 * core::kSecond) == restarted);
     CHECK(step != 0 || first == 50 * core::kSecond);
   }
 }
 
-// A router comes up with a list from a minute ago, and a replica has started anew meanwhile, before the
-// router did: that is no sign that the clock is wrong.
-void an_old_list_proves_nothing_of_the_clock() {
+// A router starts with a list that is a minute old, and a replica has restarted since then, before the router
+// started. This is no evidence that the wall clock is wrong.
+void an_old_list_does_not_correct_the_clock() {
   constexpr Micros kNow = 100 * core::kSecond, kUnix = 1'700'000'000 * core::kSecond;
   discovery::BootClock clock(-kUnix);
-  core::EndpointListUpdate old;
-  old.entries.resize(1);
-  old.entries[0].replica.id = 1;
-  old.entries[0].replica.started_at = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
-  clock.known(kNow, old);
+  core::EndpointListUpdate old_list;
+  old_list.entries.resize(1);
+  old_list.entries[0].replica.id = 1;
+  old_list.entries[0].replica.started_at = static_cast<double>(kUnix + 10 * core::kSecond) / 1e6;
+  clock.known(kNow, old_list);
   CHECK(started_at(clock, kNow + core::kSecond, 1, kUnix + 50 * core::kSecond) == 50 * core::kSecond);
-  // Nor is a start that discovery tells late, as far as it may fall behind.
+  // Neither is a start that service discovery reports late, within its maximum lag.
   clock.heard(kNow + 20 * core::kSecond);
   CHECK(started_at(clock, kNow + 21 * core::kSecond, 1, kUnix + kNow) == kNow);
 }
 
-// Lists on a watch, as discovery writes them: an indented one is a list, and a span that has been set anew in
-// the iteration in which it ended is no silence.
-struct Discovery {
+// A watch connected to a simulated service discovery, which writes raw bytes of an HTTP response.
+struct DiscoveryFixture {
   boost::asio::io_context io{1};
   tests::Ports ports;
   tcp::acceptor acceptor{io, {boost::asio::ip::address_v4::loopback(), 0}};
   tcp::socket peer{io};
-  std::vector<core::EndpointListUpdate> told;
+  std::vector<core::EndpointListUpdate> updates;
   std::unique_ptr<discovery::Watch> watch;
-  explicit Discovery(discovery::Silence silence = {}) {
+  explicit DiscoveryFixture(discovery::Silence silence = {}) {
     watch = std::make_unique<discovery::Watch>(
         io, ports, config::HostPort{"127.0.0.1", acceptor.local_endpoint().port()}, discovery::Names{},
         discovery::BootClock(0), silence);
-    watch->tell([this](core::EndpointListUpdate news) { told.push_back(std::move(news)); });
+    watch->tell([this](core::EndpointListUpdate update) { updates.push_back(std::move(update)); });
     watch->subscribe(true);
     acceptor.accept(peer);
     write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -143,77 +146,84 @@
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     write(size + text + "\r\n");
   }
-  bool until(const std::function<bool()>& so) {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
-    while (!so() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
-    return so();
+  bool run_until(const std::function<bool()>& condition) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kWaitTimeoutMs);
+    while (!condition() && std::chrono::steady_clock::now() < deadline)
+      io.run_one_for(std::chrono::milliseconds(20));
+    return condition();
   }
 };
 
-void an_indented_list_is_a_list() {
-  Discovery d;
-  std::string list = kIndented;
-  for (std::size_t at = 0; at < list.size(); at += 7) d.chunk(list.substr(at, 7));
-  CHECK(d.until([&] { return !d.told.empty(); }));
-  CHECK(d.told[0].kind == policy::ListKind::delta && d.told[0].version == 8);
+void an_indented_list_is_accepted() {
+  DiscoveryFixture d;
+  std::string list = kIndentedList;
+  for (std::size_t offset = 0; offset < list.size(); offset += 7) d.chunk(list.substr(offset, 7));
+  CHECK(d.run_until([&] { return !d.updates.empty(); }));
+  CHECK(d.updates[0].kind == policy::ListKind::delta && d.updates[0].version == 8);
 }
 
-void a_span_of_silence_that_was_set_anew_has_not_ended() {
-  Discovery d({core::kSecond, 200 * core::kMilli});
-  CHECK(d.until([&] { return d.peer.available() > 0; }));       // it has asked
-  std::this_thread::sleep_for(std::chrono::milliseconds(300));  // the first span ends, unseen
+// A silence timer that is restarted in the same iteration in which it expires does not count as expired.
+void a_restarted_silence_timer_has_not_expired() {
+  DiscoveryFixture d({core::kSecond, 200 * core::kMilli});
+  CHECK(d.run_until([&] { return d.peer.available() > 0; }));   // the watch has sent its request
+  std::this_thread::sleep_for(std::chrono::milliseconds(300));  // the first timer expires unhandled
   d.chunk("\n");
-  d.chunk(kLine + std::string("\n"));
-  // Both are ready by now, in whichever order the loop takes them.
-  CHECK(d.until([&] { return !d.told.empty(); }));
-  const bool silent = d.told[0].kind == policy::ListKind::failed;
-  CHECK(silent || d.told[0].version == 7);
+  d.chunk(kSingleLineList + std::string("\n"));
+  // Both the timer and the bytes are ready by now; the loop may handle them in either order.
+  CHECK(d.run_until([&] { return !d.updates.empty(); }));
+  const bool timed_out = d.updates[0].kind == policy::ListKind::failed;
+  CHECK(timed_out || d.updates[0].version == 7);
   d.io.poll();
-  CHECK(silent || d.told.size() == 1);
+  CHECK(timed_out || d.updates.size() == 1);
 }
 
-void a_list_that_does_not_end_is_no_sign_of_life() {
-  Discovery d({300 * core::kMilli, 300 * core::kMilli});
+// Bytes within a list that never ends do not restart the silence timer.
+void an_unfinished_list_does_not_keep_a_watch_alive() {
+  DiscoveryFixture d({300 * core::kMilli, 300 * core::kMilli});
   d.chunk(R"({"rev":7,"all":true,"targets":[)");
-  CHECK(d.until([&] {
-    if (d.told.empty()) d.chunk("\n");
-    return !d.told.empty();
+  CHECK(d.run_until([&] {
+    if (d.updates.empty()) d.chunk("\n");
+    return !d.updates.empty();
   }));
-  CHECK(d.told[0].kind == policy::ListKind::failed);
+  CHECK(d.updates[0].kind == policy::ListKind::failed);
 }
 
-void a_watch_that_falls_silent_is_opened_anew_in_time() {
-  // 6 s after it fell silent a change counts as told. Two calls may fail after 2 s each before the third.
-  const discovery::Silence usual;
-  CHECK(usual.open > 2 * core::kSecond && usual.open + 2 * 2 * core::kSecond < 8 * core::kSecond);
-  Discovery d({200 * core::kMilli, 200 * core::kMilli});
+void a_silent_watch_fails_in_time_to_be_reopened() {
+  // A change counts as delivered 6 s after the watch fell silent. Before a third request succeeds, two may
+  // fail after 2 s each.
+  const discovery::Silence defaults;
+  CHECK(defaults.open > 2 * core::kSecond && defaults.open + 2 * 2 * core::kSecond < 8 * core::kSecond);
+  DiscoveryFixture d({200 * core::kMilli, 200 * core::kMilli});
   d.chunk("\n");
-  CHECK(d.until([&] { return !d.told.empty(); }));
-  CHECK(d.told[0].kind == policy::ListKind::failed);
+  CHECK(d.run_until([&] { return !d.updates.empty(); }));
+  CHECK(d.updates[0].kind == policy::ListKind::failed);
 }
 
 // ---- clients over HTTP ----------------------------------------------------------------------------------
 
-std::string request(const std::string& id, const std::string& body = "{}") {
+std::string http_request(const std::string& id, const std::string& body = "{}") {
   return "POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Qos: chat\r\nX-Trace-Id: " + id +
          "\r\nX-Expires-In-Ms: 5000\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A front on loopback, a core on stand-in replicas, and one client; the loop runs when a test says so.
-struct Router {
+// An HTTP server on loopback, a core on stand-in replicas, and one client; the loop runs only when a test
+// runs it.
+struct RouterFixture {
   boost::asio::io_context io{1};  // outlives the core, which holds connections
   Core core;
-  http::HttpServer front;
+  http::HttpServer server;
   tcp::socket client{io};
-  Router()
-      : front(io, *core.broker, core.ports,
-              {{{"chat"}, {}, {5 * core::kSecond}}, [] { return std::size_t{64}; }}) {
-    CHECK(front.listen(config::HostPort{"127.0.0.1", 0}).empty());
+  RouterFixture()
+      : server(io, *core.broker, core.ports,
+               {{{"chat"}, {}, {5 * core::kSecond}}, [] { return std::size_t{64}; }}) {
+    CHECK(server.listen(config::HostPort{"127.0.0.1", 0}).empty());
     connect(client);
     step();
   }
-  void connect(tcp::socket& to) { to.connect({boost::asio::ip::address_v4::loopback(), front.port()}); }
-  void step() {  // what is ready, and the core's turns that follow from it
+  void connect(tcp::socket& socket) {
+    socket.connect({boost::asio::ip::address_v4::loopback(), server.port()});
+  }
+  void step() {  // handles all ready events and runs the resulting iterations of the core
     for (int i = 0; i < 4; ++i) {
       io.poll();
       io.restart();
@@ -224,17 +234,18 @@
     boost::asio::write(client, boost::asio::buffer(bytes));
     step();
   }
-  void answer(core::RequestId id) {
+  void complete(core::RequestId id) {
     core.broker->on_attempt_events({id, 0}, "data: x\n\n");
     core.broker->on_attempt_ended({id, 0}, Outcome::ok);
     step();
   }
-  // All that the client gets until its connection ends, or until it has this at its end.
-  std::string read(const std::string& end = "") {
+  // Returns what the client reads until its connection ends, or until the text ends with the suffix. A "!" is
+  // appended if the connection ended with an error, a "?" if it was still open at the timeout.
+  std::string read(const std::string& suffix = "") {
     std::string out;
     client.non_blocking(true);
-    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
-    while (std::chrono::steady_clock::now() < until && (end.empty() || !out.ends_with(end))) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kWaitTimeoutMs);
+    while (std::chrono::steady_clock::now() < deadline && (suffix.empty() || !out.ends_with(suffix))) {
       char bytes[4096];
       boost::system::error_code ec;
       const std::size_t n = client.read_some(boost::asio::buffer(bytes), ec);
@@ -243,130 +254,133 @@
         return out + (ec == boost::asio::error::eof ? "" : "!");
       step();
     }
-    return end.empty() ? out + "?" : out;
+    return suffix.empty() ? out + "?" : out;
   }
-  bool until(const std::function<bool()>& so) {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
-    while (!so() && std::chrono::steady_clock::now() < end) {
+  bool run_until(const std::function<bool()>& condition) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kWaitTimeoutMs);
+    while (!condition() && std::chrono::steady_clock::now() < deadline) {
       step();
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    return so();
+    return condition();
   }
 };
 
-std::size_t count(const std::string& in, const std::string& what) {
+std::size_t count(const std::string& text, const std::string& part) {
   std::size_t n = 0;
-  for (std::size_t at = 0; (at = in.find(what, at)) != std::string::npos; at += what.size()) ++n;
+  for (std::size_t pos = 0; (pos = text.find(part, pos)) != std::string::npos; pos += part.size()) ++n;
   return n;
 }
 
-// SIGTERM comes while one of three requests is answered and two have been read behind it: each gets its
-// answer, and only the last says that the connection ends.
-void requests_that_were_read_before_a_drain_are_answered() {
-  Router r;
-  r.write(request("1") + request("2") + request("3"));
-  CHECK(r.core.ports.calls.size() == 1);
+// SIGTERM arrives while the first of three pipelined requests is being served and the other two have been
+// read: each gets its response, and only the last one has 'Connection: close'.
+void requests_read_before_a_drain_are_served() {
+  RouterFixture r;
+  r.write(http_request("1") + http_request("2") + http_request("3"));
+  CHECK(r.core.ports.attempts.size() == 1);
   r.core.broker->drain();
-  for (core::RequestId id = 1; id <= 3; ++id) r.answer(id);
-  const std::string got = r.read();
-  CHECK(count(got, "HTTP/1.1 200 OK") == 3 && count(got, "Connection: close") == 1 && !got.ends_with("!"));
-  CHECK(got.rfind("Connection: close") > got.rfind("HTTP/1.1 200 OK"));
+  for (core::RequestId id = 1; id <= 3; ++id) r.complete(id);
+  const std::string response = r.read();
+  CHECK(count(response, "HTTP/1.1 200 OK") == 3 && count(response, "Connection: close") == 1 &&
+        !response.ends_with("!"));
+  CHECK(response.rfind("Connection: close") > response.rfind("HTTP/1.1 200 OK"));
 }
 
-// A request that crosses our word that the connection ends is not forwarded: its client may have sent it
-// elsewhere.
-void a_request_that_crosses_the_end_is_not_forwarded() {
-  Router r;
+// A request that arrives after 'Connection: close' was sent is not forwarded: its client may have sent it to
+// another router.
+void a_request_after_connection_close_is_not_forwarded() {
+  RouterFixture r;
   r.core.broker->drain();
-  r.write(request("1"));
+  r.write(http_request("1"));
   r.core.broker->on_attempt_events({1, 0}, "data: x\n\n");
   r.step();
-  r.write(request("2"));  // the head of the first answer has said 'Connection: close' by now
+  r.write(http_request("2"));  // the first response's header already had 'Connection: close'
   r.core.broker->on_attempt_ended({1, 0}, Outcome::ok);
-  const std::string got = r.read();
-  CHECK(count(got, "HTTP/1.1 200 OK") == 1 && count(got, "HTTP/1.1 503") == 1 && !got.ends_with("!"));
-  CHECK(r.core.ports.calls.size() == 1);
+  const std::string response = r.read();
+  CHECK(count(response, "HTTP/1.1 200 OK") == 1 && count(response, "HTTP/1.1 503") == 1 &&
+        !response.ends_with("!"));
+  CHECK(r.core.ports.attempts.size() == 1);
 }
 
-void a_half_read_request_is_refused_when_a_drain_takes_no_more() {
-  Router r;
-  const std::string whole = request("1");
-  r.write(whole.substr(0, whole.size() / 2));
+void a_partially_read_request_is_rejected_after_the_accept_window() {
+  RouterFixture r;
+  const std::string complete = http_request("1");
+  r.write(complete.substr(0, complete.size() / 2));
   r.core.broker->drain();
   r.core.pass_time(r.core.limits.drain_accept_window + 10 * core::kMilli);
   CHECK(!r.core.broker->accepts_requests());
-  r.core.broker->set_partially_read_requests(r.front.partially_read_requests());
-  r.front.refuse_half_read();
+  r.core.broker->set_partially_read_requests(r.server.partially_read_requests());
+  r.server.refuse_half_read();
   r.step();
   r.core.pass_time(r.core.limits.final_response_grace / 2);
-  CHECK(r.core.broker->phase() == core::Phase::draining);  // the word is on its way
-  boost::asio::write(r.client, boost::asio::buffer(whole.substr(whole.size() / 2)));
+  CHECK(r.core.broker->phase() == core::Phase::draining);  // waits for the rejection to arrive
+  boost::asio::write(r.client, boost::asio::buffer(complete.substr(complete.size() / 2)));
   r.client.shutdown(tcp::socket::shutdown_send);
-  const std::string got = r.read();
-  CHECK(got.rfind("HTTP/1.1 503", 0) == 0 && !got.ends_with("!"));
-  CHECK(r.core.ports.calls.empty());
+  const std::string response = r.read();
+  CHECK(response.rfind("HTTP/1.1 503", 0) == 0 && !response.ends_with("!"));
+  CHECK(r.core.ports.attempts.empty());
 }
 
-// Its end stands behind more bytes than are read ahead.
-void a_client_that_sends_much_and_goes_is_noticed() {
-  Router r;
-  std::string much = request("1");
-  for (int i = 2; i < 12; ++i) much += request(std::to_string(i), std::string(8000, 'x'));
-  boost::asio::write(r.client, boost::asio::buffer(much));
+// The end of the connection comes after more bytes than the server reads ahead.
+void a_disconnect_behind_many_unread_bytes_is_detected() {
+  RouterFixture r;
+  std::string requests = http_request("1");
+  for (int i = 2; i < 12; ++i) requests += http_request(std::to_string(i), std::string(8000, 'x'));
+  boost::asio::write(r.client, boost::asio::buffer(requests));
   r.client.close();
-  CHECK(r.until([&] { return !r.core.ports.cancelled.empty(); }));
+  CHECK(r.run_until([&] { return !r.core.ports.cancelled.empty(); }));
   r.step();
-  CHECK(r.core.ports.calls.size() == 1 && r.core.broker->requests_in_flight() == 0);
+  CHECK(r.core.ports.attempts.size() == 1 && r.core.broker->requests_in_flight() == 0);
 }
 
-// A client that stops in the middle of a later request is told within 3 s, as in its first.
-void a_client_that_stops_in_a_later_request_is_told() {
-  Router r;
-  const auto began = std::chrono::steady_clock::now();
-  const auto now = [began] {
-    return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - began)
+// A client that stops in the middle of a later request gets an error within 3 s, as in its first request.
+void a_client_that_stops_in_a_later_request_gets_an_error() {
+  RouterFixture r;
+  const auto started = std::chrono::steady_clock::now();
+  const auto elapsed = [started] {
+    return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - started)
         .count();
   };
   const Micros start = r.core.ports.time;
-  r.write(request("1"));
-  r.answer(1);
+  r.write(http_request("1"));
+  r.complete(1);
   r.read("0\r\n\r\n");
-  r.write(request("2").substr(0, 40));
-  const bool told = r.until([&] {
-    r.core.ports.time = start + now();
+  r.write(http_request("2").substr(0, 40));
+  const bool response_received = r.run_until([&] {
+    r.core.ports.time = start + elapsed();
     return r.client.available() > 0;
   });
-  CHECK(told && now() < 3 * core::kSecond);
+  CHECK(response_received && elapsed() < 3 * core::kSecond);
   CHECK(r.read("\n").rfind("HTTP/1.1 408", 0) == 0);
 }
 
 // ---- replicas over HTTP ---------------------------------------------------------------------------------
 
-http::ReplicaClientSettings some_room() {
-  http::ReplicaClientSettings out;
-  out.room = [] { return std::size_t{16}; };
-  return out;
+http::ReplicaClientSettings replica_client_settings() {
+  http::ReplicaClientSettings settings;
+  settings.room = [] { return std::size_t{16}; };
+  return settings;
 }
 
-// A replica's listener, and a call to it whose connection the kernel has made: our loop has not looked yet.
-struct Dialled {
+// A replica's listener, and an attempt whose connection the kernel has established; the event loop has not
+// handled that yet.
+struct ConnectingFixture {
   Core core;
   boost::asio::io_context io{1};
-  http::HttpReplicaClient replica_client{io, *core.broker, core.ports, some_room()};
+  http::HttpReplicaClient replica_client{io, *core.broker, core.ports, replica_client_settings()};
   tcp::acceptor listener{io, {boost::asio::ip::address_v4::loopback(), 0}};
   tcp::socket peer{io};
-  core::Endpoint at;
-  Dialled() {
-    at.address = "127.0.0.1:" + std::to_string(listener.local_endpoint().port());
-    at.replica.id = 5;
-    replica_client.update_endpoint(at, core::kNever);
-    auto rpc = std::make_shared<core::Request>();
-    rpc->method = "POST";
-    replica_client.start_attempt({1, 0}, 5, rpc, core::kSecond);
+  core::Endpoint endpoint;
+  ConnectingFixture() {
+    endpoint.address = "127.0.0.1:" + std::to_string(listener.local_endpoint().port());
+    endpoint.replica.id = 5;
+    replica_client.update_endpoint(endpoint, core::kNever);
+    auto request = std::make_shared<core::Request>();
+    request->method = "POST";
+    replica_client.start_attempt({1, 0}, 5, request, core::kSecond);
     listener.accept(peer);
   }
-  // The loop looks; the connection ends without a byte.
+  // Runs the loop; true if the connection then ends without a byte having been written.
   bool nothing_is_written() {
     io.poll();
     boost::system::error_code ec;
@@ -375,74 +389,74 @@
   }
 };
 
-void a_client_that_leaves_while_a_connection_comes_up() {
-  Dialled d;
+void a_client_that_disconnects_while_a_connection_is_established() {
+  ConnectingFixture d;
   d.replica_client.cancel_attempt({1, 0});
   CHECK(d.nothing_is_written());
 }
 
-// Its replica drains, and its grace is over, while the connection comes up.
-void a_replica_that_drains_while_a_connection_comes_up() {
-  Dialled d;
-  d.replica_client.update_endpoint(d.at, d.core.ports.time);
+// The replica drains, and its grace ends, while the connection is being established.
+void a_replica_that_drains_while_a_connection_is_established() {
+  ConnectingFixture d;
+  d.replica_client.update_endpoint(d.endpoint, d.core.ports.time);
   CHECK(d.nothing_is_written());
 }
 
-// ---- what passes on -------------------------------------------------------------------------------------
+// ---- forwarded headers ----------------------------------------------------------------------------------
 
-// What the client says to its replica goes through as it is: an idempotency key, which marks a repeat as one.
-// What is said to the router, or belongs to the connection, does not.
-void a_clients_own_headers_pass_on() {
-  Router r;
-  http::HttpReplicaClient replica_client(r.io, *r.core.broker, r.core.ports, some_room());
+// Headers for the replica are forwarded unchanged, such as the idempotency key, by which a replica recognizes
+// a repeated request. Headers for the router and headers of the connection are not forwarded.
+void end_to_end_headers_are_forwarded() {
+  RouterFixture r;
+  http::HttpReplicaClient replica_client(r.io, *r.core.broker, r.core.ports, replica_client_settings());
   r.core.broker->attach(core::Wire::http, replica_client);
   tcp::acceptor replica(r.io, {boost::asio::ip::address_v4::loopback(), 0});
-  core::Endpoint at;
-  at.address = "127.0.0.1:" + std::to_string(replica.local_endpoint().port());
-  at.replica.id = 1;
-  replica_client.update_endpoint(at, core::kNever);
-  std::string asked = request("1");
-  asked.insert(
-      asked.find("\r\n") + 2,
+  core::Endpoint endpoint;
+  endpoint.address = "127.0.0.1:" + std::to_string(replica.local_endpoint().port());
+  endpoint.replica.id = 1;
+  replica_client.update_endpoint(endpoint, core::kNever);
+  std::string request = http_request("1");
+  request.insert(
+      request.find("\r\n") + 2,
       "Idempotency-Key: \"a 1\"\r\ncontent-type: application/json\r\nX-Own: b\r\nConnection: x-own\r\n"
       "Keep-Alive: 5\r\nTE: trailers\r\nx-qos-more: c\r\n");
-  r.write(asked);
+  r.write(request);
   tcp::socket peer(r.io);
   replica.accept(peer);
   r.step();
-  std::string got;
-  CHECK(r.until([&] {
+  std::string forwarded;
+  CHECK(r.run_until([&] {
     char bytes[4096];
-    if (peer.available() > 0) got.append(bytes, peer.read_some(boost::asio::buffer(bytes)));
-    return got.ends_with("\r\n\r\n{}");
+    if (peer.available() > 0) forwarded.append(bytes, peer.read_some(boost::asio::buffer(bytes)));
+    return forwarded.ends_with("\r\n\r\n{}");
   }));
   for (const char* line : {"Idempotency-Key: \"a 1\"", "content-type: application/json", "x-qos-more: c",
                            "X-Trace-Id: 1", "Content-Length: 2"})
-    CHECK(count(got, std::string("\r\n") + line + "\r\n") == 1);
+    CHECK(count(forwarded, std::string("\r\n") + line + "\r\n") == 1);
   for (const char* name : {"X-Own", "Connection", "Keep-Alive", "TE:", "X-Qos:"})
-    CHECK(count(got, name) == 0);
-  CHECK(count(got, "Host:") == 1);
+    CHECK(count(forwarded, name) == 0);
+  CHECK(count(forwarded, "Host:") == 1);
 }
 
 }  // namespace
 
 int main() {
-  const std::function<void()> tests[] = {lists_are_told_apart_whatever_their_pieces,
-                                         torn_lists_are_noticed,
-                                         starts_are_known_though_the_wall_clock_is_stepped,
-                                         an_old_list_proves_nothing_of_the_clock,
-                                         an_indented_list_is_a_list,
-                                         a_span_of_silence_that_was_set_anew_has_not_ended,
-                                         a_list_that_does_not_end_is_no_sign_of_life,
-                                         a_watch_that_falls_silent_is_opened_anew_in_time,
-                                         requests_that_were_read_before_a_drain_are_answered,
-                                         a_request_that_crosses_the_end_is_not_forwarded,
-                                         a_half_read_request_is_refused_when_a_drain_takes_no_more,
-                                         a_client_that_sends_much_and_goes_is_noticed,
-                                         a_client_that_stops_in_a_later_request_is_told,
-                                         a_client_that_leaves_while_a_connection_comes_up,
-                                         a_replica_that_drains_while_a_connection_comes_up,
-                                         a_clients_own_headers_pass_on};
+  const std::function<void()> tests[] = {documents_are_split_independently_of_chunk_boundaries,
+                                         truncated_lists_are_detected,
+                                         start_times_are_correct_despite_wall_clock_steps,
+                                         an_old_list_does_not_correct_the_clock,
+                                         an_indented_list_is_accepted,
+                                         a_restarted_silence_timer_has_not_expired,
+                                         an_unfinished_list_does_not_keep_a_watch_alive,
+                                         a_silent_watch_fails_in_time_to_be_reopened,
+                                         requests_read_before_a_drain_are_served,
+                                         a_request_after_connection_close_is_not_forwarded,
+                                         a_partially_read_request_is_rejected_after_the_accept_window,
+                                         a_disconnect_behind_many_unread_bytes_is_detected,
+                                         a_client_that_stops_in_a_later_request_gets_an_error,
+                                         a_client_that_disconnects_while_a_connection_is_established,
+                                         a_replica_that_drains_while_a_connection_is_established,
+                                         end_to_end_headers_are_forwarded};
   for (const auto& test : tests) test();
   std::printf("%zu passed, 0 failed\n", std::size(tests));
 }
