--- a/src/config/labels.cpp
+++ b/src/config/labels.cpp
@@ -44,12 +44,12 @@
   if (!position(labels.classes, request.request_class, out.request_class)) return "the class is unknown";
   if (!labels.tenants.empty() && !position(labels.tenants, request.tenant, out.tenant))
     return "the tenant is unknown";
-  out.patience = labels.patience[out.request_class];
+  out.first_event_timeout = labels.patience[out.request_class];
   if (!request.expires_ms.empty()) {
     std::int64_t ms = 0;
     if (!to_number(request.expires_ms, ms) || ms < 0 || ms > kLongestWaitMs)
       return "the time to wait is no number of milliseconds";
-    out.patience = ms * core::kMilli;
+    out.first_event_timeout = ms * core::kMilli;
   }
   if (!to_tokens(request.prompt_tokens, out.prompt_tokens) ||
       !to_tokens(request.prefix_tokens, out.prefix_tokens) || !to_tokens(request.output_cap, out.output_cap))
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -26,8 +26,9 @@
   bool is_retry = false;      // marked by the client as a retry
   bool resumed = false;       // resumes a broken stream
   bool may_be_empty = false;  // a response that completes without any event is valid
-  Micros patience = 0;        // how long the client waits for the first event
-  std::string trace_id;       // chosen by the client; unique among the requests in flight
+  // How long the client waits for the first event.
+  Micros first_event_timeout = 0;
+  std::string trace_id;  // chosen by the client; unique among the requests in flight
   // Opaque to the core; passed on to the replica client.
   std::string method;
   std::string target;
--- a/src/core/request_handler.cpp
+++ b/src/core/request_handler.cpp
@@ -32,7 +32,7 @@
       context_.requests.insert(event.id, std::move(event.request), std::move(event.response_writer));
   context_.requests.count_body(*state.request);
   state.received_at = context_.now;
-  state.deadline = context_.now + state.request->patience;
+  state.deadline = context_.now + state.request->first_event_timeout;
   context_.timers.set(state.deadline + context_.settings.answer_grace, RequestDeadline{event.id});
   if (context_.lifecycle.draining())
     context_.timers.set(context_.lifecycle.drain_deadline(), RequestDeadline{event.id});
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -282,7 +282,7 @@
     if (deadline != std::chrono::system_clock::time_point::max()) {
       const auto left =
           std::chrono::duration_cast<std::chrono::microseconds>(deadline - std::chrono::system_clock::now());
-      rpc.patience = std::clamp<Micros>(left.count(), 0, rpc.patience);
+      rpc.first_event_timeout = std::clamp<Micros>(left.count(), 0, rpc.first_event_timeout);
     }
     return "";
   }
--- a/tests/core/broker_fixture.h
+++ b/tests/core/broker_fixture.h
@@ -86,7 +86,7 @@
   }
   std::shared_ptr<core::Request> make_request(std::size_t body = 0) {
     auto request = std::make_shared<core::Request>();
-    request->patience = 5 * core::kSecond;
+    request->first_event_timeout = 5 * core::kSecond;
     request->body.assign(body, 'x');
     request->trace_id = std::to_string(++sent);
     return request;
--- a/tests/core/broker_recording_test.cpp
+++ b/tests/core/broker_recording_test.cpp
@@ -553,7 +553,7 @@
   request->is_retry = random_.one_in(10);
   request->resumed = random_.one_in(20);
   request->may_be_empty = random_.one_in(8);
-  request->patience = static_cast<Micros>(300 * kMilli + random_.below(5 * kSecond));
+  request->first_event_timeout = static_cast<Micros>(300 * kMilli + random_.below(5 * kSecond));
   // One in 40 has the trace id of an earlier request, which may still be open.
   const std::uint64_t number =
       clients_ > 20 && random_.one_in(40) ? clients_ - random_.below(20) : clients_ + 1;
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -136,7 +136,7 @@
   const config::Labels labels{{"a", "b"}, {"t"}, {1, 2}};
   core::Request rpc;
   CHECK(config::apply({.request_class = "b", .tenant = "t", .session = "ff"}, labels, rpc).empty());
-  CHECK(rpc.request_class == 1 && rpc.patience == 2 && rpc.session == 255);
+  CHECK(rpc.request_class == 1 && rpc.first_event_timeout == 2 && rpc.session == 255);
   CHECK(!config::apply({.request_class = "c", .tenant = "t"}, labels, rpc).empty());
   CHECK(!config::apply({.request_class = "a", .tenant = "u"}, labels, rpc).empty());
   CHECK(!config::apply({.request_class = "a", .tenant = "t", .prompt_tokens = "nan"}, labels, rpc).empty());
