--- a/src/commands/clock.h
+++ b/src/commands/clock.h
@@ -1,4 +1,4 @@
-// The clock of every command that runs a loop.
+// The monotonic clock of the commands that run an event loop.
 #pragma once
 
 #include <chrono>
@@ -16,6 +16,7 @@
   }
 };
 
+// Monotonic time minus Unix time, at present.
 inline core::Micros unix_to_monotonic(core::Clock& clock) {
   const auto unix_now = std::chrono::duration_cast<std::chrono::microseconds>(
       std::chrono::system_clock::now().time_since_epoch());
--- a/src/commands/commands.h
+++ b/src/commands/commands.h
@@ -1,4 +1,4 @@
-// One file a sub-command. Each gives the exit status of the process.
+// The subcommands, one source file each. Each function returns the exit status of the process.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,18 @@
 int serve(const ServeOptions& options);
 struct ConformanceOptions {
   std::string target, model, server_name, junit;
-  tls::Files keys;                    // roots set: speaks TLS
-  std::vector<std::string> metadata;  // NAME=VALUE
+  tls::Files keys;                    // TLS is used if the root certificates are set
+  std::vector<std::string> metadata;  // NAME=VALUE pairs, sent with each call
   double timeout_s = 5.0;
 };
 int conformance(const ConformanceOptions& options);
 int check(const std::string& operator_file);
-// Of a fleet (docs/fleet.md). at: where any of its routers listens.
+// Options of the fleet commands (docs/fleet.md) and of shared_show().
 struct FleetOptions {
-  std::string at, job, router, file;
+  std::string at;  // ADDRESS:PORT of any router of the fleet
+  std::string job, router, file;
   std::string add;           // ID=ADDRESS:PORT
-  std::uint64_t remove = 0;  // a voter's id
+  std::uint64_t remove = 0;  // id of the voter to remove; 0: none
   bool json = false, join = false;
 };
 int fleet_status(const FleetOptions& options);
@@ -37,7 +38,8 @@
 int fleet_audit(const std::vector<std::string>& logs);
 int resolve(const std::string& operator_file, double wait_s);
 
-// One plain line on standard error, whatever the log's format; the exit status of a start that failed.
+// Prints the text as one plain line on standard error, whatever the log format, and returns the exit status
+// for a failed start.
 int diagnose(const std::string& text);
 
 }  // namespace flintglade::commands
--- a/src/commands/conformance.cpp
+++ b/src/commands/conformance.cpp
@@ -12,8 +12,8 @@
 namespace flintglade::commands {
 
 int conformance(const ConformanceOptions& options) {
-  config::HostPort at;
-  if (!config::parse_host_port(options.target, at))
+  config::HostPort address;
+  if (!config::parse_host_port(options.target, address))
     return diagnose(options.target + ": not of the form ADDRESS:PORT");
   kserve::log_through_ours();
   conformance::Target target;
@@ -28,22 +28,22 @@
   grpc::ChannelArguments args;
   args.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
   if (!options.keys.roots.empty()) {
-    const std::string wrong = tls::load(options.keys, std::time(nullptr), keys);
-    if (!wrong.empty()) return diagnose(wrong);
-    args.SetSslTargetNameOverride(options.server_name.empty() ? at.host : options.server_name);
+    const std::string error = tls::load(options.keys, std::time(nullptr), keys);
+    if (!error.empty()) return diagnose(error);
+    args.SetSslTargetNameOverride(options.server_name.empty() ? address.host : options.server_name);
   }
   target.channel = grpc::CreateCustomChannel(
-      kserve::channel_target(at),
+      kserve::channel_target(address),
       options.keys.roots.empty() ? grpc::InsecureChannelCredentials() : kserve::channel_credentials(keys),
       args);
   const auto results = conformance::run(target);
   std::fputs(conformance::table(results).c_str(), stdout);
   if (!options.junit.empty()) {
-    const std::string wrong = conformance::write_junit(results, options.target, options.junit);
-    if (!wrong.empty()) return diagnose(wrong);
+    const std::string error = conformance::write_junit(results, options.target, options.junit);
+    if (!error.empty()) return diagnose(error);
   }
-  for (const auto& r : results) {
-    if (r.verdict == conformance::Verdict::fail) return 1;
+  for (const auto& result : results) {
+    if (result.verdict == conformance::Verdict::fail) return 1;
   }
   return 0;
 }
--- a/src/commands/fleet_member.h
+++ b/src/commands/fleet_member.h
@@ -1,5 +1,6 @@
-// This router's part in its fleet: wires the member's thread, its jobs and the core together. Who does what
-// is decided by coordination::CoordinationProtocol and coordination::SharedEndpointList.
+// Connects this router's core with its fleet: with the coordination runtime's thread, the jobs and the shared
+// state. Which router owns which job is decided by coordination::CoordinationProtocol; how the endpoint list
+// is read and passed on, by coordination::SharedEndpointList.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -19,32 +20,35 @@
 
 class FleetMember {
  public:
-  // watch is borrowed. Nothing is sent before start().
+  // `watch` is not owned and must outlive this object. Nothing is sent before start().
   FleetMember(boost::asio::io_context& io, core::Clock& clock, discovery::Watch& watch,
-              const deploy::Fleet& file, const config::Config& config);
+              const deploy::Fleet& fleet, const config::Config& config);
 
-  // What the core asks for its list: the watch, or what one router of the site reads for all.
-  core::EndpointList& list();
-  // core: budgets are asked there, and what is heard of replicas is told there.
+  // The source of the core's endpoint list: the watch, or the list that one router per site reads for all.
+  core::EndpointList& endpoint_list();
+  // Starts the coordination runtime and connects the shared state with `core`: the core then checks quotas
+  // against it and receives health warnings about replicas from it.
   void start(core::Broker& core);
-  void moved(const config::HostPort& discovery);
-  // Gives up this router's jobs and says good-bye. It takes half a second at the most, on the member's
-  // thread; the core goes on meanwhile.
+  // The endpoint list is read from this address from now on.
+  void set_discovery(const config::HostPort& discovery);
+  // Releases this router's leases and notifies the other routers. Takes half a second at most, on the
+  // runtime's thread; the core continues to run meanwhile.
   void leave();
 
  private:
-  void take(const coordination::JobNotification& notification);
-  void arm();
+  void on_notification(const coordination::JobNotification& notification);
+  void arm_timer();
 
   boost::asio::io_context& io_;
   core::Clock& clock_;
   discovery::Watch& watch_;
   const std::string job_, site_;
-  std::optional<coordination::SharedEndpointList> shared_;
+  std::optional<coordination::SharedEndpointList> shared_list_;
   coordination::CoordinationRuntime::Settings settings_;
-  std::unique_ptr<SharedStateBridge> shares_;
-  boost::asio::steady_timer alarm_;
-  coordination::CoordinationRuntime member_;  // last: its thread ends before what it posts to
+  std::unique_ptr<SharedStateBridge> shared_state_;
+  boost::asio::steady_timer timer_;
+  // The last member, so that its thread ends before the members that its callbacks use are destroyed.
+  coordination::CoordinationRuntime runtime_;
 };
 
 }  // namespace flintglade::commands
--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -16,21 +16,22 @@
 using log::Level;
 
 namespace {
-// Between two attempts, while streams wait for a moment in which they can migrate.
+// Between two attempts to migrate the streams that could not migrate yet. Each attempt needs an iteration of
+// the event loop, which the timer ensures.
 constexpr std::chrono::milliseconds kMigrationPeriod{10};
 }  // namespace
 
 HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, core::Clock& clock,
-                                             core::Broker& broker, http::HttpServer& front,
-                                             http::HttpReplicaClient& replicas,
+                                             core::Broker& broker, http::HttpServer& http_server,
+                                             http::HttpReplicaClient& replica_client,
                                              hot_restart::ProcessSlots& slots, const config::Config& config)
     : clock_(clock),
       broker_(broker),
-      front_(front),
+      http_server_(http_server),
       process_slots_(slots),
-      folder_(config.scratch),
+      directory_(config.scratch),
       origin_{config.name, "", clock.now(), -unix_to_monotonic(clock)},
-      stream_migration_(broker, front, replicas),
+      stream_migration_(broker, http_server, replica_client),
       descriptor_passing_(io),
       snapshot_file_(io, config.scratch, slots.slot()),
       wake_timer_(io),
@@ -40,13 +41,14 @@
 
 void HotRestartCoordinator::start() {
   const absl::Status listening =
-      descriptor_passing_.listen(folder_, process_slots_.slot(),
+      descriptor_passing_.listen(directory_, process_slots_.slot(),
                                  [this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
                                    stream_migration_.in(bytes, descriptors);
                                  });
   if (!listening.ok())
     log::event(Level::warn, "stream_migration_unavailable",
-               {{"why", std::string(listening.message())}, {"answers", "end where they began"}});
+               {{"why", std::string(listening.message())},
+                {"answers", "not migrated: they end in the process in which they started"}});
   if (process_slots_.change_descriptor() < 0) return;
   changes_.assign(::dup(process_slots_.change_descriptor()));
   watch_changes();
@@ -55,27 +57,27 @@
 
 void HotRestartCoordinator::watch_changes() {
   changes_.async_read_some(boost::asio::buffer(change_events_),
-                           [this](boost::system::error_code ec, std::size_t n) {
-                             if (ec) return;
-                             on_changes(n);
+                           [this](boost::system::error_code error, std::size_t size) {
+                             if (error) return;
+                             on_changes(size);
                              watch_changes();
                            });
 }
 
 void HotRestartCoordinator::on_changes(std::size_t bytes) {
-  front_.look();
+  http_server_.look();
   const auto others = process_slots_.others();
   if (others.empty()) return snapshot_file_.remove();
   if (hot_restart::ProcessSlots::file_moved_in({change_events_.data(), bytes},
                                                hot_restart::SnapshotFile::kName))
     restore_snapshot();
-  // Once for each starting process: the appearance of the file wakes this process too.
-  std::uint64_t newest = 0;
+  // Saves once for each starting process: this process is also notified of the file that it creates itself.
+  std::uint64_t newest_starting = 0;
   for (const hot_restart::ProcessUsage& other : others) {
-    if (other.stage == ProcessStage::starting) newest = std::max(newest, other.join_order);
+    if (other.stage == ProcessStage::starting) newest_starting = std::max(newest_starting, other.join_order);
   }
-  if (newest > saved_for_ && broker_.ready()) {
-    saved_for_ = newest;
+  if (newest_starting > newest_saved_for_ && broker_.ready()) {
+    newest_saved_for_ = newest_starting;
     save_snapshot();
   }
 }
@@ -108,25 +110,26 @@
   });
 }
 
-bool HotRestartCoordinator::hand_over() {
+bool HotRestartCoordinator::start_handover() {
   for (const hot_restart::ProcessUsage& other : process_slots_.others()) {
     if (other.stage == ProcessStage::serving) successor_ = other.slot;
   }
   if (!successor_) {
-    log::event(Level::info, "successor_not_found",
-               {{"others", process_slots_.others().size()}, {"answers", "end here"}});
+    log::event(
+        Level::info, "successor_not_found",
+        {{"others", process_slots_.others().size()}, {"answers", "not migrated: they end in this process"}});
     return false;
   }
   log::event(Level::info, "successor_selected", {{"slot", *successor_}});
   save_snapshot();
-  wake_regularly();
+  schedule_wakeup();
   return true;
 }
 
-void HotRestartCoordinator::wake_regularly() {
+void HotRestartCoordinator::schedule_wakeup() {
   wake_timer_.expires_after(kMigrationPeriod);
-  wake_timer_.async_wait([this](boost::system::error_code ec) {
-    if (!ec && successor_) wake_regularly();
+  wake_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error && successor_) schedule_wakeup();
   });
 }
 
@@ -134,9 +137,11 @@
   if (!successor_) return;
   stream_migration_.out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
     const DescriptorPassing::SendResult result =
-        DescriptorPassing::send(folder_, *successor_, bytes, descriptors);
+        DescriptorPassing::send(directory_, *successor_, bytes, descriptors);
     if (result == DescriptorPassing::SendResult::no_receiver) {
-      log::event(Level::warn, "successor_lost", {{"slot", *successor_}, {"answers", "end here"}});
+      log::event(
+          Level::warn, "successor_lost",
+          {{"slot", *successor_}, {"answers", "not migrated: the remaining ones end in this process"}});
       successor_.reset();
     }
     return result == DescriptorPassing::SendResult::sent;
--- a/src/commands/hot_restart_coordinator.h
+++ b/src/commands/hot_restart_coordinator.h
@@ -1,6 +1,7 @@
-// Hot restart of a router: connects the process slots, the descriptor passing and the snapshot file with the
-// core and the HTTP side. What each process may hold is decided by hot_restart/limit_partition, and which
-// streams can migrate by http::StreamMigration. One thread, the loop's.
+// Hot restart of a router: connects the process slots, descriptor passing and the snapshot file with the core
+// and the HTTP server and client. hot_restart/limit_partition decides how many descriptors and how much
+// memory each process may use; http::StreamMigration decides which streams can migrate. Used on the event
+// loop's thread only.
 #pragma once
 
 #include <array>
@@ -22,39 +23,42 @@
 
 class HotRestartCoordinator {
  public:
-  // For a process that has a slot.
+  // `slots` must have a slot for this process.
   HotRestartCoordinator(boost::asio::io_context& io, core::Clock& clock, core::Broker& broker,
-                        http::HttpServer& front, http::HttpReplicaClient& replicas,
+                        http::HttpServer& http_server, http::HttpReplicaClient& replica_client,
                         hot_restart::ProcessSlots& slots, const config::Config& config);
 
   void start();
-  // On SIGTERM: leaves a snapshot and begins to migrate streams to the process that serves from now on.
-  // False: there is none.
-  bool hand_over();
-  // Migrates the streams that can go now. Once an iteration, when no handler of the loop waits to run.
+  // Called on SIGTERM: saves a snapshot and starts to migrate streams to the process that has taken over.
+  // Returns false if there is no such process.
+  bool start_handover();
+  // Migrates the streams that can migrate now. Called once per event loop iteration, when no handler is ready
+  // to run.
   void migrate_streams();
-  // The endpoint list comes from there from now on.
-  void set_discovery(const config::HostPort& at) { origin_.discovery = config::host_port(at.host, at.port); }
+  // The endpoint list is read from this address from now on.
+  void set_discovery(const config::HostPort& address) {
+    origin_.discovery = config::host_port(address.host, address.port);
+  }
 
  private:
   void watch_changes();
   void on_changes(std::size_t bytes);
   void save_snapshot();
   void restore_snapshot();
-  void wake_regularly();
+  void schedule_wakeup();
 
   core::Clock& clock_;
   core::Broker& broker_;
-  http::HttpServer& front_;
+  http::HttpServer& http_server_;
   hot_restart::ProcessSlots& process_slots_;
-  const std::string folder_;
+  const std::string directory_;
   hot_restart::Origin origin_;
   http::StreamMigration stream_migration_;
   hot_restart::DescriptorPassing descriptor_passing_;
   hot_restart::SnapshotFile snapshot_file_;
-  std::uint64_t saved_for_ =
-      0;  // the join order of the newest starting process that a snapshot was saved for
-  std::optional<std::size_t> successor_;  // the slot of the process that our streams go to
+  // Join order of the newest starting process that a snapshot was saved for.
+  std::uint64_t newest_saved_for_ = 0;
+  std::optional<std::size_t> successor_;  // slot of the process that streams migrate to
   boost::asio::steady_timer wake_timer_;
   boost::asio::posix::stream_descriptor changes_;
   std::array<char, 4096> change_events_{};
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -1,4 +1,5 @@
-// The real router: wires the packages together and runs the loop. It decides nothing.
+// The serve command: constructs and connects the packages and runs the event loop. Contains no decision
+// logic.
 #include <algorithm>
 #include <array>
 #include <boost/asio.hpp>
@@ -41,46 +42,55 @@
 using core::Micros;
 using log::Level;
 
-// Descriptors outside the HTTP pools: the standard streams, the loop's own, listener and discovery, and some
-// spare; and what gRPC is likely to want beside its clients' connections.
+// Descriptors that are not HTTP connections. kSpareDescriptors: the standard streams, the event loop's own,
+// the listener, discovery, and some spare. kGrpcDescriptors: what gRPC is likely to need besides its clients'
+// connections.
 constexpr std::size_t kSpareDescriptors = 32, kGrpcDescriptors = 64, kFleetDescriptors = 8;
-// The rest is shared by both sides: replicas may always have this part of it, and clients what replicas
-// leave, with some room for calls to come. Clients by the hundreds that say nothing would fill a fixed half.
-constexpr double kReplicaPart = 0.28;
-constexpr int kMostHandlersATurn = 512;
-constexpr double kLookEvery = 10.0;  // seconds between looks at certificates
-// Where clients can't ask for the rest, a stream that is cut off while its replica only paused is lost, and
-// one that leaves its client waiting for 5 s is too. Seen: gaps of over 2 s at many replicas at once.
-constexpr Micros kLongestGap = 4 * core::kSecond;
-constexpr std::chrono::seconds kFirstUnready{1}, kTellUnready{30};
+// Client and replica connections share the remaining descriptors: replica connections may always use this
+// share, and clients what the replica connections leave, less some room for new attempts. With a fixed half
+// for the clients, hundreds of idle client connections would fill it.
+constexpr double kReplicaShare = 0.28;
+constexpr int kMaxHandlersPerIteration = 512;
+// How often certificate files are checked for changes, unless the operator's file says otherwise.
+constexpr double kDefaultCertificateCheckSeconds = 10.0;
+// When clients cannot resume a stream, a stream that is cut off while its replica only paused is lost, and so
+// is one that makes its client wait for 5 s. Pauses of over 2 s have been observed at many replicas at once.
+constexpr Micros kStallTimeoutWithoutResume = 4 * core::kSecond;
+constexpr std::chrono::seconds kFirstNotReadyLogDelay{1}, kNotReadyLogPeriod{30};
 
 config::Labels labels(const config::Config& config) {
-  config::Labels out{config.classes, config.tenants, {}};
-  for (const auto& c : config.module.classes) out.patience.push_back(static_cast<Micros>(c.hard_limit * 1e6));
-  return out;
+  config::Labels result{config.classes, config.tenants, {}};
+  for (const auto& c : config.module.classes)
+    result.patience.push_back(static_cast<Micros>(c.hard_limit * 1e6));
+  return result;
 }
 
-Micros longest(const policy::Settings& module) {
+Micros longest_hard_limit(const policy::Settings& module) {
   double seconds = 0.0;
   for (const auto& c : module.classes) seconds = std::max(seconds, c.hard_limit);
   return static_cast<Micros>(seconds * 1e6);
 }
 
-struct Keys {
-  tls::Material front, replica;
+struct TlsMaterial {
+  tls::Material server, replica_client;
 };
-std::string read_keys(const deploy::KServe& file, bool front, bool replica, Keys& out) {
+// Reads the certificates and keys of the KServe server, of the replica client, or both. Returns an empty
+// string or an error message.
+std::string read_tls_material(const deploy::KServe& file, bool server, bool replica_client,
+                              TlsMaterial& out) {
   std::string error;
-  if (front) error = tls::CertificateProvider::read(kserve::front_files(file), out.front);
-  if (replica && error.empty())
-    error = tls::CertificateProvider::read(kserve::replica_files(file), out.replica);
+  if (server) error = tls::CertificateProvider::read(kserve::front_files(file), out.server);
+  if (replica_client && error.empty())
+    error = tls::CertificateProvider::read(kserve::replica_files(file), out.replica_client);
   return error;
 }
 
-double look_every(const auto& tls) { return tls.has_look_every_s() ? tls.look_every_s() : kLookEvery; }
+double certificate_check_seconds(const auto& tls) {
+  return tls.has_look_every_s() ? tls.look_every_s() : kDefaultCertificateCheckSeconds;
+}
 
-// One debug line an RPC's coming, refusal, failure or its client's going, a call attempt's start, first event
-// and end, and a list.
+// Writes one debug line for each trace event: a request is received, rejected or fails, its client
+// disconnects; an attempt starts, produces its first event or ends; an endpoint list is applied.
 void write_trace(const core::TraceEvent& event) {
   static constexpr std::array<const char*, 8> kNames = {
       "attempt_started", "attempt_ended",        "first_event",      "request_rejected",
@@ -110,23 +120,26 @@
   }
 }
 
-// Waits until something is ready or an alarm is due, runs what is ready, and takes the core through its turn.
-// before: each turn; told whether every handler that was ready has run.
-void run(boost::asio::io_context& io, core::Broker& broker, const std::function<void(bool)>& before,
-         const std::function<void()>& serving, const std::function<void()>& close_idle) {
-  bool closed_idle = false, served = false;
+// Runs event loop iterations until the core has stopped. Each waits until a handler is ready or a timer of
+// the core is due, runs the ready handlers (at most kMaxHandlersPerIteration), and then the core's iteration.
+// Calls before_iteration before each iteration of the core, with whether no ready handler is left; on_serving
+// once, when the router is ready for the first time; and close_idle once, when a draining router accepts no
+// new clients any more.
+void run(boost::asio::io_context& io, core::Broker& broker, const std::function<void(bool)>& before_iteration,
+         const std::function<void()>& on_serving, const std::function<void()>& close_idle) {
+  bool closed_idle = false, was_ready = false;
   while (broker.phase() != core::Phase::stopped) {
-    const Micros alarm = broker.next_timer();
-    if (alarm == core::kNever) {
+    const Micros next_timer = broker.next_timer();
+    if (next_timer == core::kNever) {
       io.run_one();
     } else {
-      io.run_one_until(std::chrono::steady_clock::time_point(std::chrono::microseconds(alarm)));
+      io.run_one_until(std::chrono::steady_clock::time_point(std::chrono::microseconds(next_timer)));
     }
     int handlers = 0;
-    while (handlers < kMostHandlersATurn && io.poll_one() > 0) ++handlers;
-    before(handlers < kMostHandlersATurn);
+    while (handlers < kMaxHandlersPerIteration && io.poll_one() > 0) ++handlers;
+    before_iteration(handlers < kMaxHandlersPerIteration);
     broker.run_iteration();
-    if (broker.ready() && !std::exchange(served, true)) serving();
+    if (broker.ready() && !std::exchange(was_ready, true)) on_serving();
     if (broker.phase() == core::Phase::draining && !broker.accepts_new_clients() && !closed_idle) {
       closed_idle = true;
       close_idle();
@@ -138,8 +151,8 @@
 
 int serve(const ServeOptions& options) {
   boost::asio::io_context io(1);
-  // Taken from the first moment on: a signal that comes before the router is up waits until it is, where the
-  // default of SIGHUP would end the process.
+  // The handlers are installed first of all: a signal that arrives during the start is handled after it,
+  // whereas the default action of SIGHUP would end the process.
   boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGUSR1);
   signals.add(SIGHUP);
   config::Config config;
@@ -147,18 +160,19 @@
   std::string error = config::load(config);
   if (error.empty() && !options.operator_file.empty())
     error = operator_file::load(options.operator_file, file);
-  std::vector<endpoint_sources::SourceSpec> specs;
-  if (error.empty()) specs = endpoint_sources::sources(file.membership(), config.zones, config.kinds, error);
+  std::vector<endpoint_sources::SourceSpec> source_specs;
+  if (error.empty())
+    source_specs = endpoint_sources::sources(file.membership(), config.zones, config.kinds, error);
   if (!error.empty()) return diagnose(error);
   if (file.has_membership()) {
-    // DNS tells no start times, and its weights are sizes.
+    // DNS has no start times of replicas, and its weights stand for sizes.
     config.module.slots = file.membership().slots() > 0 ? static_cast<int>(file.membership().slots())
                                                         : endpoint_sources::kSlots;
     config.module.weights = policy::WeightSource::nominal;
   }
 
   MonotonicClock clock;
-  const std::size_t reserved = std::min(
+  const std::size_t reserved_descriptors = std::min(
       config.sockets / 2,
       kSpareDescriptors +
           (file.has_kserve() ? kGrpcDescriptors + 2 * kserve::front_settings(file.kserve()).limits.connections
@@ -166,39 +180,45 @@
           endpoint_sources::resolver_settings(file.membership().resolver()).outstanding *
               file.has_membership() +
           admin::Server::kDescriptors * !config.admin.host.empty() + kFleetDescriptors * file.has_fleet());
-  http::HttpServer* front = nullptr;
-  const http::HttpReplicaClient* replicas = nullptr;
-  const core::Broker* core = nullptr;
-  // Processes that share the clients' socket share the router's limits as well.
-  const hot_restart::ProcessLimits whole{config.sockets, (config.memory_mb << 20) / 4};
+  // Null until the objects are constructed, below.
+  http::HttpServer* http_server_pointer = nullptr;
+  const http::HttpReplicaClient* http_replica_client_pointer = nullptr;
+  const core::Broker* broker_pointer = nullptr;
+  // Processes that share the listening socket also share the router's limits.
+  const hot_restart::ProcessLimits router_limits{config.sockets, (config.memory_mb << 20) / 4};
   hot_restart::ProcessSlots process_slots;
   if (config.accept_fd >= 0) {
     const absl::Status joined = process_slots.join(config.scratch, config.name);
     if (!joined.ok())
       log::event(Level::warn, "process_slot_unavailable",
-                 {{"why", std::string(joined.message())}, {"limits", "as if alone"}});
+                 {{"why", std::string(joined.message())},
+                  {"limits", "those of the whole router, as if no other process of it ran"}});
   }
-  const auto use = [&] {
-    hot_restart::ProcessUsage out{hot_restart::ProcessStage::starting, reserved, 0};
-    if (core != nullptr && core->phase() != core::Phase::starting)
-      out.stage = core->ready() ? hot_restart::ProcessStage::serving : hot_restart::ProcessStage::draining;
-    out.descriptors +=
-        (front != nullptr ? front->connections() : 0) + (replicas != nullptr ? replicas->connections() : 0);
-    if (core != nullptr) out.body_bytes = core->body_bytes();
-    return out;
+  const auto current_usage = [&] {
+    hot_restart::ProcessUsage usage{hot_restart::ProcessStage::starting, reserved_descriptors, 0};
+    if (broker_pointer != nullptr && broker_pointer->phase() != core::Phase::starting)
+      usage.stage =
+          broker_pointer->ready() ? hot_restart::ProcessStage::serving : hot_restart::ProcessStage::draining;
+    usage.descriptors +=
+        (http_server_pointer != nullptr ? http_server_pointer->connections() : 0) +
+        (http_replica_client_pointer != nullptr ? http_replica_client_pointer->connections() : 0);
+    if (broker_pointer != nullptr) usage.body_bytes = broker_pointer->body_bytes();
+    return usage;
   };
-  const auto mine = [&] {
-    if (!process_slots.has_slot()) return whole;
-    const hot_restart::ProcessUsage now = use();
-    process_slots.publish(now);
-    return hot_restart::partition_limits(whole, now, process_slots.others());
+  // Publishes what this process uses, and returns the limits that it has now.
+  const auto publish_usage_and_get_limits = [&] {
+    if (!process_slots.has_slot()) return router_limits;
+    const hot_restart::ProcessUsage usage = current_usage();
+    process_slots.publish(usage);
+    return hot_restart::partition_limits(router_limits, usage, process_slots.others());
   };
-  const auto shared = [&mine, reserved] {
-    const std::size_t sockets = mine().descriptors;
-    return sockets - std::min(sockets, reserved);
+  // The number of HTTP connections, from clients and to replicas, that this process may have now.
+  const auto max_http_connections = [&publish_usage_and_get_limits, reserved_descriptors] {
+    const std::size_t descriptors = publish_usage_and_get_limits().descriptors;
+    return descriptors - std::min(descriptors, reserved_descriptors);
   };
-  const auto replica_part = [](std::size_t of) {
-    return static_cast<std::size_t>(static_cast<double>(of) * kReplicaPart);
+  const auto replica_share = [](std::size_t connections) {
+    return static_cast<std::size_t>(static_cast<double>(connections) * kReplicaShare);
   };
   discovery::Watch watch(io, clock, config.discovery, {config.zones, config.kinds},
                          discovery::BootClock(unix_to_monotonic(clock)),
@@ -207,64 +227,69 @@
   settings.drain_grace = core::write_grace(config.drain_grace);
   settings.answer_grace = config.answer_grace;
   settings.cancel_hold = static_cast<Micros>(file.calls().cancel_hold_s() * 1e6);
-  if (!config.module.resume) settings.stall_timeout = kLongestGap;
-  settings.drain_limit = std::min(settings.drain_limit, longest(config.module) + 400 * core::kMilli);
-  settings.body_budget = whole.body_bytes;
+  if (!config.module.resume) settings.stall_timeout = kStallTimeoutWithoutResume;
+  settings.drain_limit =
+      std::min(settings.drain_limit, longest_hard_limit(config.module) + 400 * core::kMilli);
+  settings.body_budget = router_limits.body_bytes;
   std::unique_ptr<endpoint_sources::EndpointSources> sources;
   if (file.has_membership())
-    sources = std::make_unique<endpoint_sources::EndpointSources>(io, clock, watch, file.membership(), specs);
+    sources = std::make_unique<endpoint_sources::EndpointSources>(io, clock, watch, file.membership(),
+                                                                  source_specs);
   std::optional<FleetMember> fleet_member;
   if (file.has_fleet()) fleet_member.emplace(io, clock, watch, file.fleet(), config);
-  core::EndpointList& list = sources        ? static_cast<core::EndpointList&>(*sources)
-                             : fleet_member ? fleet_member->list()
-                                            : watch;
-  core::Broker broker(settings, config.module, config.seed, clock, list);
-  core = &broker;
+  core::EndpointList& endpoint_list = sources        ? static_cast<core::EndpointList&>(*sources)
+                                      : fleet_member ? fleet_member->endpoint_list()
+                                                     : watch;
+  core::Broker broker(settings, config.module, config.seed, clock, endpoint_list);
+  broker_pointer = &broker;
   if (log::enabled(Level::debug)) broker.trace(write_trace);
-  const auto told = [&broker](core::EndpointListUpdate news) {
-    broker.on_endpoint_list_update(std::move(news));
+  const auto on_update = [&broker](core::EndpointListUpdate update) {
+    broker.on_endpoint_list_update(std::move(update));
   };
   if (sources) {
-    sources->set_update_handler(told);
+    sources->set_update_handler(on_update);
   } else {
-    watch.set_update_handler(told);
+    watch.set_update_handler(on_update);
   }
 
   http::ReplicaClientSettings http_settings;
   http_settings.dial_timeout = config.dial_timeout;
   http_settings.conn_idle = config.conn_idle;
-  http_settings.room = [&front, shared, replica_part] {
-    const std::size_t all = shared();
-    return std::max(replica_part(all), all - std::min(all, front->connections()));
+  http_settings.room = [&http_server_pointer, max_http_connections, replica_share] {
+    const std::size_t all = max_http_connections();
+    return std::max(replica_share(all), all - std::min(all, http_server_pointer->connections()));
   };
-  http::HttpReplicaClient http_subchannels(io, broker, clock, http_settings);
-  replicas = &http_subchannels;
-  broker.attach(core::Wire::http, http_subchannels);
-  const auto client_room = [&http_subchannels, shared, replica_part] {
-    const std::size_t all = shared(), calls = http_subchannels.connections();
-    return all - std::min(all, std::max(replica_part(all), calls + calls / 8 + 6));
+  http::HttpReplicaClient http_replica_client(io, broker, clock, http_settings);
+  http_replica_client_pointer = &http_replica_client;
+  broker.attach(core::Wire::http, http_replica_client);
+  const auto max_client_connections = [&http_replica_client, max_http_connections, replica_share] {
+    const std::size_t all = max_http_connections(), in_use = http_replica_client.connections();
+    return all - std::min(all, std::max(replica_share(all), in_use + in_use / 8 + 6));
   };
-  http::HttpServer http_front(io, broker, clock, {labels(config), client_room, reserved / 2});
-  front = &http_front;
-  http_front.on_exhausted([&http_subchannels] { return http_subchannels.shed_idle(); });
-  // One inherited socket may have two processes at it: one that starts leaves its queue to the one that
+  http::HttpServer http_server(io, broker, clock,
+                               {labels(config), max_client_connections, reserved_descriptors / 2});
+  http_server_pointer = &http_server;
+  http_server.on_exhausted([&http_replica_client] { return http_replica_client.shed_idle(); });
+  // Two processes may accept from one inherited socket: a starting process leaves the clients to the one that
   // serves.
-  const auto open = [&broker, &process_slots] {
+  const auto may_accept = [&broker, &process_slots] {
     return broker.phase() != core::Phase::starting ||
            (process_slots.has_slot() && process_slots.others().empty());
   };
-  error =
-      config.accept_fd >= 0 ? http_front.listen(config.accept_fd, open) : http_front.listen(config.listen);
+  error = config.accept_fd >= 0 ? http_server.listen(config.accept_fd, may_accept)
+                                : http_server.listen(config.listen);
   if (!error.empty()) return diagnose(error);
   log::event(Level::info, "listening",
              {{"name", config.name},
               {"wire", "http"},
-              {"at", config::host_port(config.listen.host, http_front.port())}});
+              {"at", config::host_port(config.listen.host, http_server.port())}});
 
-  // A yes is heard only once our seat says so too: the other process may be told to end at that very moment.
-  bool announced = false;
+  // The readiness probe succeeds only after the process slot has published that this process serves: as soon
+  // as the probe succeeds, the other process may receive SIGTERM, and then it looks for its successor in the
+  // slots.
+  bool serving_published = false;
   admin::Server admin(
-      io, {[&broker, &announced] { return announced && broker.ready(); },
+      io, {[&broker, &serving_published] { return serving_published && broker.ready(); },
            [&broker] { return std::string(to_string(broker.phase())); },
            [&broker, &config] {
              return admin::render({&broker.counters(), config.classes, broker.requests_in_flight(),
@@ -279,48 +304,56 @@
                 {"at", config::host_port(config.admin.host, admin.port())}});
   }
 
-  std::unique_ptr<tls::CertificateProvider> front_keys, replica_keys;
-  const auto use_keys = [&](const deploy::KServe& from, Keys keys, bool front_too, bool replica_too) {
-    if (front_keys && front_too)
-      front_keys->use(kserve::front_files(from), look_every(from.tls()), std::move(keys.front));
-    if (replica_keys && replica_too)
-      replica_keys->use(kserve::replica_files(from), look_every(from.replica_tls()), std::move(keys.replica));
+  std::unique_ptr<tls::CertificateProvider> server_certificates, replica_client_certificates;
+  const auto use_tls_material = [&](const deploy::KServe& from, TlsMaterial material, bool for_server,
+                                    bool for_replica_client) {
+    if (server_certificates && for_server)
+      server_certificates->use(kserve::front_files(from), certificate_check_seconds(from.tls()),
+                               std::move(material.server));
+    if (replica_client_certificates && for_replica_client)
+      replica_client_certificates->use(kserve::replica_files(from),
+                                       certificate_check_seconds(from.replica_tls()),
+                                       std::move(material.replica_client));
   };
   if (file.has_kserve()) {
     kserve::log_through_ours();
-    Keys keys;
-    error = read_keys(file.kserve(), file.kserve().has_tls(), file.kserve().has_replica_tls(), keys);
+    TlsMaterial material;
+    error =
+        read_tls_material(file.kserve(), file.kserve().has_tls(), file.kserve().has_replica_tls(), material);
     if (!error.empty()) return diagnose(error);
-    if (file.kserve().has_tls()) front_keys = std::make_unique<tls::CertificateProvider>(io, "front");
+    if (file.kserve().has_tls())
+      server_certificates = std::make_unique<tls::CertificateProvider>(io, "front");
     if (file.kserve().has_replica_tls())
-      replica_keys = std::make_unique<tls::CertificateProvider>(io, "replicas");
-    use_keys(file.kserve(), std::move(keys), true, true);
+      replica_client_certificates = std::make_unique<tls::CertificateProvider>(io, "replicas");
+    use_tls_material(file.kserve(), std::move(material), true, true);
   }
-  std::unique_ptr<kserve::GrpcReplicaClient> grpc_subchannels;
-  std::unique_ptr<kserve::GrpcServer> grpc_front;
+  std::unique_ptr<kserve::GrpcReplicaClient> grpc_replica_client;
+  std::unique_ptr<kserve::GrpcServer> grpc_server;
   if (file.has_kserve()) {
-    const kserve::ServerSettings kserve_front = kserve::front_settings(file.kserve());
-    grpc_subchannels = std::make_unique<kserve::GrpcReplicaClient>(
+    const kserve::ServerSettings kserve_settings = kserve::front_settings(file.kserve());
+    grpc_replica_client = std::make_unique<kserve::GrpcReplicaClient>(
         io, broker, clock,
-        kserve::ReplicaClientSettings{config.dial_timeout, kserve_front.replica_port,
-                                      static_cast<Micros>(kserve_front.limits.replica_ping_s * 1e6),
-                                      replica_keys.get(), file.kserve().replica_tls().server_name()});
-    if (replica_keys) replica_keys->on_change([&grpc_subchannels] { grpc_subchannels->renew(); });
-    broker.attach(core::Wire::kserve, *grpc_subchannels);
-    grpc_front = std::make_unique<kserve::GrpcServer>(io, broker, kserve_front, labels(config), config.name,
-                                                      front_keys.get());
-    if (kserve_front.replica_metadata.on) {
-      grpc_front->ask_replicas(clock, [&grpc_subchannels](std::string method, std::string question,
-                                                          kserve::GrpcServer::Answered answered) {
-        grpc_subchannels->ask(std::move(method), std::move(question), std::move(answered));
+        kserve::ReplicaClientSettings{config.dial_timeout, kserve_settings.replica_port,
+                                      static_cast<Micros>(kserve_settings.limits.replica_ping_s * 1e6),
+                                      replica_client_certificates.get(),
+                                      file.kserve().replica_tls().server_name()});
+    if (replica_client_certificates)
+      replica_client_certificates->on_change([&grpc_replica_client] { grpc_replica_client->renew(); });
+    broker.attach(core::Wire::kserve, *grpc_replica_client);
+    grpc_server = std::make_unique<kserve::GrpcServer>(io, broker, kserve_settings, labels(config),
+                                                       config.name, server_certificates.get());
+    if (kserve_settings.replica_metadata.on) {
+      grpc_server->ask_replicas(clock, [&grpc_replica_client](std::string method, std::string request,
+                                                              kserve::GrpcServer::Answered answered) {
+        grpc_replica_client->ask(std::move(method), std::move(request), std::move(answered));
       });
     }
-    error = grpc_front->listen();
+    error = grpc_server->listen();
     if (!error.empty()) return diagnose(error);
     log::event(Level::info, "listening",
                {{"name", config.name},
                 {"wire", "kserve"},
-                {"at", config::host_port(kserve_front.listen.host, grpc_front->port())}});
+                {"at", config::host_port(kserve_settings.listen.host, grpc_server->port())}});
   }
   if (sources) {
     sources->start(config.known);
@@ -340,94 +373,102 @@
     replay.start([&broker] { broker.drain(); });
   }
 
-  std::optional<HotRestartCoordinator> handoff;
+  std::optional<HotRestartCoordinator> hot_restart_coordinator;
   if (process_slots.has_slot())
-    handoff.emplace(io, clock, broker, http_front, http_subchannels, process_slots, config);
+    hot_restart_coordinator.emplace(io, clock, broker, http_server, http_replica_client, process_slots,
+                                    config);
 
   const auto print_counters = [&] {
     std::vector<log::Field> fields{{"phase", core::to_string(broker.phase())}};
     for (const auto& [name, value] : broker.counters().list()) fields.emplace_back(name, value);
-    if (grpc_front) {
-      fields.emplace_back("kserve_open_streams", grpc_front->open_calls());
-      fields.emplace_back("kserve_streams_rejected", grpc_front->counters().streams_refused);
-      fields.emplace_back("kserve_silent_streams", grpc_front->counters().silent_calls);
-      fields.emplace_back("kserve_connections", grpc_front->connections().open());
-      fields.emplace_back("kserve_connections_rejected", grpc_front->connections().refused());
-      fields.emplace_back("kserve_descriptions_asked", grpc_front->counters().descriptions_asked);
-      fields.emplace_back("kserve_descriptions_failed", grpc_front->counters().descriptions_failed);
-      fields.emplace_back("kserve_denied", grpc_front->counters().denied);
+    if (grpc_server) {
+      fields.emplace_back("kserve_open_streams", grpc_server->open_calls());
+      fields.emplace_back("kserve_streams_rejected", grpc_server->counters().streams_refused);
+      fields.emplace_back("kserve_silent_streams", grpc_server->counters().silent_calls);
+      fields.emplace_back("kserve_connections", grpc_server->connections().open());
+      fields.emplace_back("kserve_connections_rejected", grpc_server->connections().refused());
+      fields.emplace_back("kserve_descriptions_asked", grpc_server->counters().descriptions_asked);
+      fields.emplace_back("kserve_descriptions_failed", grpc_server->counters().descriptions_failed);
+      fields.emplace_back("kserve_denied", grpc_server->counters().denied);
     }
-    const auto add_keys = [&fields](const tls::CertificateProvider* keys, const char* taken,
-                                    const char* refused, const char* expires) {
-      if (keys == nullptr) return;
-      fields.emplace_back(taken, keys->counters().taken);
-      fields.emplace_back(refused, keys->counters().refused);
-      fields.emplace_back(expires, keys->expires_in_s());
+    const auto add_certificate_fields = [&fields](const tls::CertificateProvider* provider,
+                                                  const char* loaded, const char* rejected,
+                                                  const char* expires) {
+      if (provider == nullptr) return;
+      fields.emplace_back(loaded, provider->counters().taken);
+      fields.emplace_back(rejected, provider->counters().refused);
+      fields.emplace_back(expires, provider->expires_in_s());
     };
-    add_keys(front_keys.get(), "tls_server_loaded", "tls_server_rejected", "tls_server_expires_in_s");
-    add_keys(replica_keys.get(), "tls_replica_loaded", "tls_replica_rejected", "tls_replica_expires_in_s");
-    std::vector<std::pair<std::string, std::uint64_t>> of_sources;
-    if (sources) of_sources = sources->counters();
-    for (const auto& [name, value] : of_sources) fields.emplace_back(name, value);
+    add_certificate_fields(server_certificates.get(), "tls_server_loaded", "tls_server_rejected",
+                           "tls_server_expires_in_s");
+    add_certificate_fields(replica_client_certificates.get(), "tls_replica_loaded", "tls_replica_rejected",
+                           "tls_replica_expires_in_s");
+    std::vector<std::pair<std::string, std::uint64_t>> source_counters;
+    if (sources) source_counters = sources->counters();
+    for (const auto& [name, value] : source_counters) fields.emplace_back(name, value);
     fields.emplace_back("log_dropped", log::dropped());
     log::reply("counters", fields);
   };
-  // SIGHUP: both files are read again and checked as at the start, and are taken over together or not at all.
+  // On SIGHUP: reads and checks both files again as at the start; applies both of them or neither.
   const auto reload = [&] {
-    config::Config fresh;
-    deploy::OperatorFile fresh_file;
-    std::string wrong = config::reload(fresh);
-    if (wrong.empty() && !options.operator_file.empty())
-      wrong = operator_file::load(options.operator_file, fresh_file);
-    std::vector<endpoint_sources::SourceSpec> fresh_specs;
-    if (wrong.empty())
-      fresh_specs = endpoint_sources::sources(fresh_file.membership(), fresh.zones, fresh.kinds, wrong);
-    // Whether there is TLS at all takes a start; with what keys does not.
-    const bool fresh_front = front_keys && fresh_file.kserve().has_tls();
-    const bool fresh_replica = replica_keys && fresh_file.kserve().has_replica_tls();
-    Keys keys;
-    if (wrong.empty()) wrong = read_keys(fresh_file.kserve(), fresh_front, fresh_replica, keys);
-    if (!wrong.empty()) {
+    config::Config new_config;
+    deploy::OperatorFile new_file;
+    std::string reload_error = config::reload(new_config);
+    if (reload_error.empty() && !options.operator_file.empty())
+      reload_error = operator_file::load(options.operator_file, new_file);
+    std::vector<endpoint_sources::SourceSpec> new_specs;
+    if (reload_error.empty())
+      new_specs =
+          endpoint_sources::sources(new_file.membership(), new_config.zones, new_config.kinds, reload_error);
+    // Turning TLS on or off requires a restart; new certificates and keys do not.
+    const bool reload_server_certificates = server_certificates && new_file.kserve().has_tls();
+    const bool reload_replica_client_certificates =
+        replica_client_certificates && new_file.kserve().has_replica_tls();
+    TlsMaterial material;
+    if (reload_error.empty())
+      reload_error = read_tls_material(new_file.kserve(), reload_server_certificates,
+                                       reload_replica_client_certificates, material);
+    if (!reload_error.empty()) {
       broker.reload_refused();
-      log::event(Level::warn, "reload_rejected", {{"why", wrong}, {"in_force", "the old configuration"}});
+      log::event(Level::warn, "reload_rejected",
+                 {{"why", reload_error}, {"in_force", "the previous configuration"}});
       return;
     }
-    broker.reload(core::write_grace(fresh.drain_grace), fresh.answer_grace,
-                  static_cast<Micros>(fresh_file.calls().cancel_hold_s() * 1e6));
-    http_subchannels.reload(fresh.dial_timeout, fresh.conn_idle);
-    if (grpc_subchannels) grpc_subchannels->reload(fresh.dial_timeout);
-    if (grpc_front && fresh_file.has_kserve())
-      grpc_front->reload(kserve::front_settings(fresh_file.kserve()));
-    use_keys(fresh_file.kserve(), std::move(keys), fresh_front, fresh_replica);
-    if (sources && fresh_file.has_membership())
-      sources->reload(fresh_file.membership(), std::move(fresh_specs));
-    watch.set_address(fresh.discovery);
-    if (fleet_member) fleet_member->moved(fresh.discovery);
-    if (handoff) handoff->set_discovery(fresh.discovery);
-    const bool all = fresh.fixed == config.fixed &&
-                     operator_file::fixed_part(fresh_file) == operator_file::fixed_part(file);
+    broker.reload(core::write_grace(new_config.drain_grace), new_config.answer_grace,
+                  static_cast<Micros>(new_file.calls().cancel_hold_s() * 1e6));
+    http_replica_client.reload(new_config.dial_timeout, new_config.conn_idle);
+    if (grpc_replica_client) grpc_replica_client->reload(new_config.dial_timeout);
+    if (grpc_server && new_file.has_kserve()) grpc_server->reload(kserve::front_settings(new_file.kserve()));
+    use_tls_material(new_file.kserve(), std::move(material), reload_server_certificates,
+                     reload_replica_client_certificates);
+    if (sources && new_file.has_membership()) sources->reload(new_file.membership(), std::move(new_specs));
+    watch.set_address(new_config.discovery);
+    if (fleet_member) fleet_member->set_discovery(new_config.discovery);
+    if (hot_restart_coordinator) hot_restart_coordinator->set_discovery(new_config.discovery);
+    const bool all_applied = new_config.fixed == config.fixed &&
+                             operator_file::fixed_part(new_file) == operator_file::fixed_part(file);
     log::event(Level::info, "reloaded",
-               {{"discovery", config::host_port(fresh.discovery.host, fresh.discovery.port)},
-                {"at_next_start", all ? "nothing" : "some of what changed"}});
+               {{"discovery", config::host_port(new_config.discovery.host, new_config.discovery.port)},
+                {"at_next_start", all_applied ? "nothing" : "some of the changes"}});
   };
-  // A router that is not ready says why: soon, and then now and again.
-  boost::asio::steady_timer unready(io);
-  std::function<void(std::chrono::seconds)> tell_unready = [&](std::chrono::seconds in) {
-    unready.expires_after(in);
-    unready.async_wait([&](boost::system::error_code ec) {
-      if (ec || broker.phase() != core::Phase::starting) return;
+  // A router that is not ready logs the reason: after kFirstNotReadyLogDelay, then every kNotReadyLogPeriod.
+  boost::asio::steady_timer not_ready_timer(io);
+  std::function<void(std::chrono::seconds)> log_not_ready_after = [&](std::chrono::seconds delay) {
+    not_ready_timer.expires_after(delay);
+    not_ready_timer.async_wait([&](boost::system::error_code timer_error) {
+      if (timer_error || broker.phase() != core::Phase::starting) return;
       log::event(Level::warn, "not_ready",
                  {{"why", broker.not_ready_reason()},
                   {"sources", sources ? sources->status() : "list at " + watch.status()}});
-      tell_unready(kTellUnready);
+      log_not_ready_after(kNotReadyLogPeriod);
     });
   };
-  tell_unready(kFirstUnready);
-  if (handoff) handoff->start();
+  log_not_ready_after(kFirstNotReadyLogDelay);
+  if (hot_restart_coordinator) hot_restart_coordinator->start();
   if (fleet_member) fleet_member->start(broker);
-  std::function<void(boost::system::error_code, int)> on_signal = [&](boost::system::error_code ec,
+  std::function<void(boost::system::error_code, int)> on_signal = [&](boost::system::error_code signal_error,
                                                                       int signal) {
-    if (ec) return;
+    if (signal_error) return;
     if (signal == SIGUSR1) {
       print_counters();
     } else if (signal == SIGHUP) {
@@ -435,9 +476,9 @@
     } else {
       log::event(Level::info, "drain_started", {{"open", broker.requests_in_flight()}});
       if (fleet_member) fleet_member->leave();
-      const bool followed = handoff && handoff->hand_over();
-      broker.drain(followed);
-      if (config.accept_fd >= 0 && (!handoff || followed)) http_front.stop_accepting();
+      const bool has_successor = hot_restart_coordinator && hot_restart_coordinator->start_handover();
+      broker.drain(has_successor);
+      if (config.accept_fd >= 0 && (!hot_restart_coordinator || has_successor)) http_server.stop_accepting();
     }
     signals.async_wait(on_signal);
   };
@@ -445,28 +486,28 @@
 
   run(
       io, broker,
-      [&](bool idle) {
-        if (process_slots.has_slot())
-          broker.body_budget(mine().body_bytes);  // and the others see what this process uses
-        if (idle && handoff) handoff->migrate_streams();
+      [&](bool no_handler_ready) {
+        // In each iteration, so that the usage that the other processes see is current.
+        if (process_slots.has_slot()) broker.body_budget(publish_usage_and_get_limits().body_bytes);
+        if (no_handler_ready && hot_restart_coordinator) hot_restart_coordinator->migrate_streams();
         if (broker.phase() != core::Phase::draining) return;
-        broker.set_partially_read_requests(http_front.partially_read_requests());
-        if (!broker.accepts_requests()) http_front.refuse_half_read();
+        broker.set_partially_read_requests(http_server.partially_read_requests());
+        if (!broker.accepts_requests()) http_server.refuse_half_read();
       },
       [&] {
-        mine();
-        announced = true;
-        http_front.look();
+        publish_usage_and_get_limits();
+        serving_published = true;
+        http_server.look();
       },
       [&] {
-        http_front.close_idle();
-        if (config.accept_fd >= 0) http_front.stop_accepting();
-        if (grpc_front) grpc_front->close_idle();
+        http_server.close_idle();
+        if (config.accept_fd >= 0) http_server.stop_accepting();
+        if (grpc_server) grpc_server->close_idle();
       });
-  log::event(Level::info, "stopped", {{"connections", http_front.connections()}});
-  if (grpc_front) grpc_front->stop();
-  // Calls that were given up may still be gRPC's to finish; they post to the loop when it has.
-  while (grpc_subchannels && grpc_subchannels->unfinished() > 0)
+  log::event(Level::info, "stopped", {{"connections", http_server.connections()}});
+  if (grpc_server) grpc_server->stop();
+  // gRPC may not have finished cancelled calls yet; each posts to the event loop when it has.
+  while (grpc_replica_client && grpc_replica_client->unfinished() > 0)
     io.run_one_for(std::chrono::milliseconds(10));
   print_counters();
   return 0;
--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -25,42 +25,42 @@
       .count();
 }
 
-shared::Amount amount(double of) { return static_cast<shared::Amount>(of * shared::kUnit); }
+shared::Amount amount(double value) { return static_cast<shared::Amount>(value * shared::kUnit); }
 Micros micros(double seconds) { return static_cast<Micros>(seconds * 1e6); }
 
 shared::Settings settings(const deploy::Fleet& fleet) {
   const deploy::Shared& file = fleet.shared();
   shared::Settings out;
-  const Micros lease = file.has_part_s() ? micros(file.part_s()) : 2 * core::kSecond;
-  for (const auto& b : file.budgets()) {
-    shared::Budget& to = out.budgets.emplace_back();
-    to.name = b.name();
-    to.team = b.team();
-    to.tokens = b.unit() == deploy::Budget::TOKENS;
-    to.reject_over_quota = b.beyond() == deploy::Budget::REFUSE;
-    to.per_s = amount(b.per_s());
-    to.burst = amount(b.burst());
-    to.window_total = amount(b.whole());
-    to.window = b.has_window_s() ? micros(b.window_s()) : 0;
-    if (b.has_aside()) to.reserved_share = b.aside();
-    to.routers = file.routers();
-    to.max_lease = lease;
+  const Micros max_lease = file.has_part_s() ? micros(file.part_s()) : 2 * core::kSecond;
+  for (const auto& configured : file.budgets()) {
+    shared::Budget& budget = out.budgets.emplace_back();
+    budget.name = configured.name();
+    budget.team = configured.team();
+    budget.tokens = configured.unit() == deploy::Budget::TOKENS;
+    budget.reject_over_quota = configured.beyond() == deploy::Budget::REFUSE;
+    budget.per_s = amount(configured.per_s());
+    budget.burst = amount(configured.burst());
+    budget.window_total = amount(configured.whole());
+    budget.window = configured.has_window_s() ? micros(configured.window_s()) : 0;
+    if (configured.has_aside()) budget.reserved_share = configured.aside();
+    budget.routers = file.routers();
+    budget.max_lease = max_lease;
   }
   out.counts = file.counts();
   if (file.has_most_per_s()) out.max_requests_per_s = file.most_per_s();
   if (file.has_most_delay_s()) out.max_delay = micros(file.most_delay_s());
   out.health_gossip = file.has_hearsay();
-  const auto& h = file.hearsay();
-  if (h.has_witnesses()) out.min_reporters = h.witnesses();
-  if (h.has_keep_s()) out.observation_ttl = micros(h.keep_s());
-  if (h.has_most_part()) out.max_ejected_share = h.most_part();
-  // At the pace at which the routers look after one another.
+  const auto& gossip = file.hearsay();
+  if (gossip.has_witnesses()) out.min_reporters = gossip.witnesses();
+  if (gossip.has_keep_s()) out.observation_ttl = micros(gossip.keep_s());
+  if (gossip.has_most_part()) out.max_ejected_share = gossip.most_part();
+  // The same period as that of the membership probes.
   out.seal = out.compare = fleet.has_period_s() ? micros(fleet.period_s()) : core::kSecond;
   out.gossip = out.seal / 5;
   return out;
 }
 
-std::string contents(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::string out(kMaxSnapshotBytes + 1, '\0');
   in.read(out.data(), static_cast<std::streamsize>(out.size()));
@@ -70,73 +70,80 @@
 
 }  // namespace
 
-SharedStateBridge::SharedStateBridge(asio::io_context& io, core::Clock& clock, const deploy::Fleet& file,
+SharedStateBridge::SharedStateBridge(asio::io_context& io, core::Clock& clock, const deploy::Fleet& fleet,
                                      const config::Config& config, const membership::Self& self)
     : io_(io),
       clock_(clock),
       config_(config),
-      settings_(settings(file)),
-      snapshot_(file.shared().snapshot()),
+      settings_(settings(fleet)),
+      snapshot_path_(fleet.shared().snapshot()),
       quota_holder_(settings_.budgets, config.tenants, self.birth, coordination::CoordinationRuntime::now()),
       health_observer_(settings_),
       ejection_policy_(settings_),
       counts_((config.tenants.size() + 1) * std::max<std::size_t>(1, config.classes.size())),
-      alarm_(io) {
-  for (const auto& b : settings_.budgets) {
-    if (std::find(config.tenants.begin(), config.tenants.end(), b.team) == config.tenants.end())
-      unknown_teams_.push_back(b.team);
+      poll_timer_(io) {
+  for (const auto& budget : settings_.budgets) {
+    if (std::find(config.tenants.begin(), config.tenants.end(), budget.team) == config.tenants.end())
+      unknown_teams_.push_back(budget.team);
   }
-  // What the member's side has for us, on its thread.
+  // Called on the coordination runtime's thread.
   shared::SharedState::Ports ports;
   ports.unix_time = unix_now;
-  ports.on_lease = [this](const coordination::QuotaLease& p) {
-    asio::post(io_, [this, p] { quota_holder_.on_lease(quota_time(clock_.now()), p); });
+  ports.on_lease = [this](const coordination::QuotaLease& lease) {
+    asio::post(io_, [this, lease] { quota_holder_.on_lease(quota_time(clock_.now()), lease); });
   };
-  ports.lend = [this](const std::string& who, const coordination::QuotaRequest& ask) {
-    asio::post(io_, [this, who, ask] {
-      const auto parcel = quota_holder_.lend(quota_time(clock_.now()), ask);
-      if (!parcel || member_ == nullptr) return;
-      member_->with_protocol([this, who, p = *parcel](Micros now, coordination::CoordinationProtocol& agent) {
-        shared_state_->send_lease(now, agent, who, p);
-      });
+  ports.lend = [this](const std::string& router, const coordination::QuotaRequest& request) {
+    asio::post(io_, [this, router, request] {
+      const auto lease = quota_holder_.lend(quota_time(clock_.now()), request);
+      if (!lease || runtime_ == nullptr) return;
+      runtime_->with_protocol(
+          [this, router, lease = *lease](Micros now, coordination::CoordinationProtocol& protocol) {
+            shared_state_->send_lease(now, protocol, router, lease);
+          });
     });
   };
   ports.on_health_summaries = [this](std::vector<shared::ReplicaHealthSummary> summaries,
-                                     shared::FleetSize fleet) {
-    asio::post(io_,
-               [this, summaries = std::move(summaries), fleet] { on_health_summaries(summaries, fleet); });
+                                     shared::FleetSize fleet_size) {
+    asio::post(io_, [this, summaries = std::move(summaries), fleet_size] {
+      on_health_summaries(summaries, fleet_size);
+    });
   };
   shared_state_ =
       std::make_unique<shared::SharedState>(settings_, std::move(ports), self, config.seed ^ self.birth);
 }
 
 void SharedStateBridge::restore() {
-  if (snapshot_.empty()) return;
-  const std::string bytes = contents(snapshot_);
-  const absl::Status restored = bytes.size() > kMaxSnapshotBytes
-                                    ? absl::ResourceExhaustedError("it is too large")
-                                    : shared_state_->restore(coordination::CoordinationRuntime::now(), bytes);
+  if (snapshot_path_.empty()) return;
+  const std::string bytes = read_file(snapshot_path_);
+  const absl::Status restored =
+      bytes.size() > kMaxSnapshotBytes
+          ? absl::ResourceExhaustedError("the file is larger than " + std::to_string(kMaxSnapshotBytes) +
+                                         " bytes")
+          : shared_state_->restore(coordination::CoordinationRuntime::now(), bytes);
   if (!restored.ok()) {
     log::event(Level::warn, "shared_counters_rejected",
-               {{"file", snapshot_}, {"why", std::string(restored.message())}, {"starts", "without"}});
+               {{"file", snapshot_path_},
+                {"why", std::string(restored.message())},
+                {"starts", "without the saved counters"}});
   }
 }
 
-void SharedStateBridge::start(coordination::CoordinationRuntime& member, core::Broker& core) {
-  member_ = &member;
+void SharedStateBridge::start(coordination::CoordinationRuntime& runtime, core::Broker& core) {
+  runtime_ = &runtime;
   core_ = &core;
   for (const std::string& team : unknown_teams_)
     log::event(Level::warn, "quota_without_tenant",
-               {{"team", team}, {"why", "the settings name no such tenant"}});
+               {{"team", team}, {"why", "the team of a budget is not among the tenants of the settings"}});
   poll();
 }
 
-// ---- the serving path
+// ---- on the serving path
 
-SharedStateBridge::QuotaDecision SharedStateBridge::check_quota(Micros now, const core::Request& rpc) {
-  const auto tokens = static_cast<shared::Amount>((rpc.prompt_tokens + rpc.output_cap) * shared::kUnit);
+SharedStateBridge::QuotaDecision SharedStateBridge::check_quota(Micros now, const core::Request& request) {
+  const auto tokens =
+      static_cast<shared::Amount>((request.prompt_tokens + request.output_cap) * shared::kUnit);
   const shared::QuotaHolder::Decision decision =
-      quota_holder_.spend(quota_time(now), rpc.tenant, std::min(tokens, shared::kMaxAmount));
+      quota_holder_.spend(quota_time(now), request.tenant, std::min(tokens, shared::kMaxAmount));
   switch (decision.verdict) {
     case shared::QuotaHolder::Verdict::unlimited:
       return {};
@@ -150,72 +157,75 @@
   return {QuotaStatus::refused, decision.retry_after};
 }
 
-void SharedStateBridge::on_request_finished(const core::Request& rpc, RequestOutcome outcome) {
-  const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
-  const std::size_t team = std::min<std::size_t>(rpc.tenant, config_.tenants.size());
-  const std::size_t request_class = std::min<std::size_t>(rpc.request_class, classes - 1);
-  coordination::RequestCounts& c = counts_[team * classes + request_class];
-  if (outcome == RequestOutcome::refused) return c.set_refused(c.refused() + 1);
-  if (outcome == RequestOutcome::failed) return c.set_failed(c.failed() + 1);
-  c.set_served(c.served() + 1);
-  c.set_tokens(c.tokens() + static_cast<std::uint64_t>(std::max(0.0, rpc.prompt_tokens + rpc.output_cap)));
+void SharedStateBridge::on_request_finished(const core::Request& request, RequestOutcome outcome) {
+  const std::size_t class_count = std::max<std::size_t>(1, config_.classes.size());
+  const std::size_t team = std::min<std::size_t>(request.tenant, config_.tenants.size());
+  const std::size_t request_class = std::min<std::size_t>(request.request_class, class_count - 1);
+  coordination::RequestCounts& counts = counts_[team * class_count + request_class];
+  if (outcome == RequestOutcome::refused) return counts.set_refused(counts.refused() + 1);
+  if (outcome == RequestOutcome::failed) return counts.set_failed(counts.failed() + 1);
+  counts.set_served(counts.served() + 1);
+  counts.set_tokens(counts.tokens() +
+                    static_cast<std::uint64_t>(std::max(0.0, request.prompt_tokens + request.output_cap)));
   if (request_class < config_.module.classes.size())
-    c.set_worth(c.worth() +
-                static_cast<std::uint64_t>(1000.0 * config_.module.classes[request_class].priority_weight));
+    counts.set_worth(counts.worth() + static_cast<std::uint64_t>(
+                                          1000.0 * config_.module.classes[request_class].priority_weight));
 }
 
 // ---- between the two threads
 
 shared::ReplicatedCounter::Counts SharedStateBridge::counts() const {
   shared::ReplicatedCounter::Counts out;
-  const std::size_t classes = std::max<std::size_t>(1, config_.classes.size());
+  const std::size_t class_count = std::max<std::size_t>(1, config_.classes.size());
   for (std::size_t i = 0; i < counts_.size(); ++i) {
-    const coordination::RequestCounts& c = counts_[i];
-    if (c.served() + c.refused() + c.failed() == 0) continue;
-    const std::size_t team = i / classes;
+    const coordination::RequestCounts& counts = counts_[i];
+    if (counts.served() + counts.refused() + counts.failed() == 0) continue;
+    const std::size_t team = i / class_count;
     out[{team < config_.tenants.size() ? config_.tenants[team] : "",
-         i % classes < config_.classes.size() ? config_.classes[i % classes] : ""}] = c;
+         i % class_count < config_.classes.size() ? config_.classes[i % class_count] : ""}] = counts;
   }
   return out;
 }
 
 void SharedStateBridge::send_requests(Micros now) {
-  auto questions = quota_holder_.due_requests(quota_time(now));
+  auto requests = quota_holder_.due_requests(quota_time(now));
   auto returns = quota_holder_.take_returns();
-  if (questions.empty() && returns.empty()) return;
-  member_->with_protocol([this, questions = std::move(questions), returns = std::move(returns)](
-                             Micros t, coordination::CoordinationProtocol& agent) {
-    for (const auto& q : questions) shared_state_->request_lease(t, agent, q.request, q.to_peer);
-    for (const auto& r : returns) shared_state_->return_lease(t, agent, r);
+  if (requests.empty() && returns.empty()) return;
+  runtime_->with_protocol([this, requests = std::move(requests), returns = std::move(returns)](
+                              Micros protocol_now, coordination::CoordinationProtocol& protocol) {
+    for (const auto& request : requests)
+      shared_state_->request_lease(protocol_now, protocol, request.request, request.to_peer);
+    for (const auto& lease : returns) shared_state_->return_lease(protocol_now, protocol, lease);
   });
 }
 
 void SharedStateBridge::send_counts(Micros now) {
-  const bool save_now = !snapshot_.empty() && now >= next_save_;
-  if (save_now) next_save_ = now + kSavePeriod;
+  const bool save_due = !snapshot_path_.empty() && now >= next_save_;
+  if (save_due) next_save_ = now + kSavePeriod;
   next_counts_ = now + settings_.seal;
   coordination::SharedStatus status;
   quota_holder_.status(quota_time(now), status);
-  member_->with_protocol([this, counts = counts(), status, avoided = avoided_, save_now](
-                             Micros t, coordination::CoordinationProtocol&) {
-    shared_state_->on_counts(t, counts);
-    shared_state_->on_core_status(status, avoided);
-    if (save_now) save_counters(shared_state_->snapshot(t));
+  runtime_->with_protocol([this, counts = counts(), status, ejected = ejected_replicas_, save_due](
+                              Micros protocol_now, coordination::CoordinationProtocol&) {
+    shared_state_->on_counts(protocol_now, counts);
+    shared_state_->on_core_status(status, ejected);
+    if (save_due) save_counters(shared_state_->snapshot(protocol_now));
   });
 }
 
 void SharedStateBridge::save_counters(std::string bytes) {
-  // A disk may be slow, and the member's thread renews leases.
-  asio::post(disk_, [path = snapshot_, bytes = std::move(bytes)] {
-    const std::string draft = path + ".draft";
-    bool good = false;
+  // On a thread of its own, because a disk may be slow and the coordination runtime's thread must renew
+  // leases in time.
+  asio::post(disk_thread_, [path = snapshot_path_, bytes = std::move(bytes)] {
+    const std::string temporary_path = path + ".draft";
+    bool written = false;
     {
-      std::ofstream out(draft, std::ios::binary | std::ios::trunc);
+      std::ofstream out(temporary_path, std::ios::binary | std::ios::trunc);
       out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
       out.flush();
-      good = out.good();
+      written = out.good();
     }
-    if (!good || std::rename(draft.c_str(), path.c_str()) != 0)
+    if (!written || std::rename(temporary_path.c_str(), path.c_str()) != 0)
       log::event(Level::warn, "shared_counters_save_failed", {{"file", path}});
   });
 }
@@ -226,45 +236,45 @@
   auto observations = health_observer_.observations(now);
   next_observations_ = now + kObservationsPeriod;
   had_observations_ = !observations.empty();
-  member_->with_protocol(
-      [this, observations = std::move(observations)](Micros t, coordination::CoordinationProtocol&) {
-        shared_state_->on_observations(t, observations);
-      });
+  runtime_->with_protocol([this, observations = std::move(observations)](
+                              Micros protocol_now, coordination::CoordinationProtocol&) {
+    shared_state_->on_observations(protocol_now, observations);
+  });
 }
 
 void SharedStateBridge::poll() {
   const Micros now = clock_.now();
-  slept_ = coordination::CoordinationRuntime::now() - now;
+  clock_offset_ = coordination::CoordinationRuntime::now() - now;
   send_requests(now);
   if (now >= next_counts_) send_counts(now);
   if (settings_.health_gossip) send_observations(now);
-  alarm_.expires_after(kPollPeriod);
-  alarm_.async_wait([this](boost::system::error_code ec) {
-    if (!ec) poll();
+  poll_timer_.expires_after(kPollPeriod);
+  poll_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) poll();
   });
 }
 
 void SharedStateBridge::on_health_summaries(const std::vector<shared::ReplicaHealthSummary>& summaries,
-                                            shared::FleetSize fleet) {
+                                            shared::FleetSize fleet_size) {
   const auto ready = core_->ready_replicas();
-  std::set<core::ReplicaId> avoided;
+  std::set<core::ReplicaId> ejected;
   for (const auto& ejection : ejection_policy_.ejections(
-           clock_.now(), summaries, {ready.begin(), ready.end()}, health_observer_, fleet)) {
+           clock_.now(), summaries, {ready.begin(), ready.end()}, health_observer_, fleet_size)) {
     core_->on_health_warning(ejection.replica, ejection.span);
-    avoided.insert(ejection.replica);
-    if (avoided_.count(ejection.replica) == 0) {
+    ejected.insert(ejection.replica);
+    if (ejected_replicas_.count(ejection.replica) == 0) {
       log::event(Level::info, "replica_avoided_by_gossip",
                  {{"replica", ejection.replica}, {"for_us", ejection.span}});
     }
   }
-  avoided_ = std::move(avoided);
+  ejected_replicas_ = std::move(ejected);
 }
 
 void SharedStateBridge::leave() {
   quota_holder_.return_all();
   send_requests(clock_.now());
   send_counts(clock_.now());
-  alarm_.cancel();
+  poll_timer_.cancel();
 }
 
 }  // namespace flintglade::commands
