--- a/src/simulator_adapter/boot_info.cpp
+++ b/src/simulator_adapter/boot_info.cpp
@@ -8,9 +8,11 @@
 namespace flintglade::policy {
 namespace {
 
-constexpr std::size_t kMostItems = 65536;  // classes and tenants are u16 on the wire
+constexpr std::size_t kMaxItems = 65536;  // the wire has 16 bits for classes and for tenants
 
-class Lines {
+// The path=value lines, and conversions of their values. Keeps the first error; an absent path leaves `out`
+// as it is.
+class SettingsReader {
  public:
   std::string error;
   std::map<std::string, std::string, std::less<>> values;
@@ -19,8 +21,8 @@
     if (error.empty()) error = "setting " + std::string(path) + " has the value '" + std::string(value) + "'";
   }
   const std::string* find(const std::string& path) const {
-    const auto it = values.find(path);
-    return it == values.end() ? nullptr : &it->second;
+    const auto entry = values.find(path);
+    return entry == values.end() ? nullptr : &entry->second;
   }
   void number(const std::string& path, double& out) {
     const std::string* value = find(path);
@@ -32,6 +34,7 @@
       fail(path, *value);
     }
   }
+  // Limits the value to +-1e9.
   void integer(const std::string& path, int& out) {
     double parsed = out;
     number(path, parsed);
@@ -44,22 +47,22 @@
     out = *value == "true";
   }
   std::size_t count(const std::string& path) {
-    double n = 0.0;
-    number(path, n);
-    if (n < 0.0 || n > static_cast<double>(kMostItems)) {
+    double value = 0.0;
+    number(path, value);
+    if (value < 0.0 || value > static_cast<double>(kMaxItems)) {
       fail(path, *find(path));
       return 0;
     }
-    return static_cast<std::size_t>(n);
+    return static_cast<std::size_t>(value);
   }
   std::vector<std::string> list(const std::string& path) const {
     std::vector<std::string> items;
     const std::string* value = find(path);
     if (value == nullptr || value->empty()) return items;
-    std::size_t from = 0;
-    for (std::size_t comma = 0; comma != std::string::npos; from = comma + 1) {
-      comma = value->find(',', from);
-      items.push_back(value->substr(from, comma == std::string::npos ? comma : comma - from));
+    std::size_t start = 0;
+    for (std::size_t comma = 0; comma != std::string::npos; start = comma + 1) {
+      comma = value->find(',', start);
+      items.push_back(value->substr(start, comma == std::string::npos ? comma : comma - start));
     }
     return items;
   }
@@ -67,56 +70,57 @@
   void choice(const std::string& path, T& out, const std::map<std::string, T>& names) {
     const std::string* value = find(path);
     if (value == nullptr) return;
-    const auto it = names.find(*value);
-    if (it == names.end()) return fail(path, *value);
-    out = it->second;
+    const auto entry = names.find(*value);
+    if (entry == names.end()) return fail(path, *value);
+    out = entry->second;
   }
   static bool to_number(const std::string& text, double& out) {
-    const auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), out);
-    return code == std::errc() && end == text.data() + text.size() && std::isfinite(out);
+    const auto [end, error_code] = std::from_chars(text.data(), text.data() + text.size(), out);
+    return error_code == std::errc() && end == text.data() + text.size() && std::isfinite(out);
   }
 };
 
-void read_classes(Lines& in, Settings& s) {
-  s.classes.resize(in.count("classes.count"));
-  const auto per_k = in.list("family_info.aim_us_per_1000_prompt_tokens");
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "classes." + std::to_string(i) + ".";
-    ClassSettings& c = s.classes[i];
-    in.number(at + "aim", c.latency_objective);
-    in.number(at + "hard_limit", c.hard_limit);
-    in.number(at + "worth", c.priority_weight);
-    in.number(at + "late_value", c.late_value);
-    in.number(at + "key_ttl", c.key_ttl);
-    in.flag(at + "streamed", c.streamed);
-    in.choice<Semantics>(at + "semantics", c.semantics,
-                         {{"safe", Semantics::idempotent},
-                          {"keyed", Semantics::idempotency_key},
-                          {"unsafe", Semantics::not_idempotent}});
-    in.choice<IdempotencyScope>(
-        at + "group", c.idempotency_scope,
+void read_classes(SettingsReader& reader, Settings& settings) {
+  settings.classes.resize(reader.count("classes.count"));
+  const auto us_per_1000_tokens = reader.list("family_info.aim_us_per_1000_prompt_tokens");
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const std::string path_prefix = "classes." + std::to_string(i) + ".";
+    ClassSettings& class_settings = settings.classes[i];
+    reader.number(path_prefix + "aim", class_settings.latency_objective);
+    reader.number(path_prefix + "hard_limit", class_settings.hard_limit);
+    reader.number(path_prefix + "worth", class_settings.priority_weight);
+    reader.number(path_prefix + "late_value", class_settings.late_value);
+    reader.number(path_prefix + "key_ttl", class_settings.key_ttl);
+    reader.flag(path_prefix + "streamed", class_settings.streamed);
+    reader.choice<Semantics>(path_prefix + "semantics", class_settings.semantics,
+                             {{"safe", Semantics::idempotent},
+                              {"keyed", Semantics::idempotency_key},
+                              {"unsafe", Semantics::not_idempotent}});
+    reader.choice<IdempotencyScope>(
+        path_prefix + "group", class_settings.idempotency_scope,
         {{"all", IdempotencyScope::all}, {"zone", IdempotencyScope::zone}, {"cell", IdempotencyScope::cell}});
     double us = 0.0;
-    if (i < per_k.size()) {
-      if (!Lines::to_number(per_k[i], us)) in.fail("family_info.aim_us_per_1000_prompt_tokens", per_k[i]);
-      c.latency_objective_per_1000_tokens = us / 1e6;
+    if (i < us_per_1000_tokens.size()) {
+      if (!SettingsReader::to_number(us_per_1000_tokens[i], us))
+        reader.fail("family_info.aim_us_per_1000_prompt_tokens", us_per_1000_tokens[i]);
+      class_settings.latency_objective_per_1000_tokens = us / 1e6;
     }
   }
 }
 
-void read_tenants(Lines& in, Settings& s) {
-  s.tenants.resize(in.count("accounts.count"));
-  for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    const std::string at = "accounts." + std::to_string(i) + ".";
-    in.number(at + "quota_per_s", s.tenants[i].quota_per_s);
-    in.number(at + "share", s.tenants[i].share);
+void read_tenants(SettingsReader& reader, Settings& settings) {
+  settings.tenants.resize(reader.count("accounts.count"));
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+    const std::string path_prefix = "accounts." + std::to_string(i) + ".";
+    reader.number(path_prefix + "quota_per_s", settings.tenants[i].quota_per_s);
+    reader.number(path_prefix + "share", settings.tenants[i].share);
   }
 }
 
 }  // namespace
 
-std::string parse_boot_info(std::string_view text, Settings& s) {
-  Lines in;
+std::string parse_boot_info(std::string_view text, Settings& settings) {
+  SettingsReader reader;
   while (!text.empty()) {
     const std::size_t newline = text.find('\n');
     std::string_view line = text.substr(0, newline);
@@ -127,43 +131,43 @@
     if (equals == std::string_view::npos || equals == 0) {
       return "settings line without path=value: '" + std::string(line.substr(0, 80)) + "'";
     }
-    in.values.insert_or_assign(std::string(line.substr(0, equals)), std::string(line.substr(equals + 1)));
+    reader.values.insert_or_assign(std::string(line.substr(0, equals)), std::string(line.substr(equals + 1)));
   }
-  read_classes(in, s);
-  read_tenants(in, s);
-  in.integer("balancers", s.balancers);
-  in.integer("rank", s.rank);
-  in.integer("az", s.zone);
-  const auto zones = in.list("failure_domains");
-  if (!zones.empty()) s.zones = static_cast<int>(zones.size());
-  in.number("over_share_worth", s.over_quota_weight);
-  in.choice<bool>("worth_by", s.priority_weight_by_work, {{"request", false}, {"work", true}});
-  in.choice<bool>("registry_mode", s.list_on_request, {{"pushed", false}, {"on_request", true}});
-  in.choice<bool>("registry_mode", s.list_pushed, {{"pushed", true}, {"on_request", false}});
-  in.choice<WeightSource>("weight_source", s.weights,
-                          {{"silent", WeightSource::silent},
-                           {"nominal", WeightSource::nominal},
-                           {"rough", WeightSource::rough},
-                           {"live", WeightSource::live}});
-  in.flag("callers.marks_retry", s.marks_retry);
-  in.flag("family_info.resume", s.resume);
-  in.flag("permissions.may_cancel", s.may_cancel);
-  in.flag("permissions.may_duplicate", s.may_duplicate);
-  in.flag("permissions.probing", s.may_probe);
-  in.flag("permissions.peers", s.may_peer);
-  in.flag("permissions.retry_after", s.retry_after);
-  in.integer("permissions.most_tries", s.max_attempts);
-  in.number("permissions.max_retry_after", s.max_retry_after);
-  in.number("permissions.dial_timeout", s.dial_timeout);
-  in.number("prices.cross_zone", s.price_cross_zone);
-  in.number("prices.waste", s.price_waste);
-  in.number("prices.late_fail", s.price_late_fail);
-  in.number("invariants.cold_from", s.cold_from);
-  in.number("invariants.cold", s.cold_s);
-  in.number("invariants.fall_multiple", s.fall_multiple);
-  in.number("invariants.fall", s.fall_s);
-  in.number("invariants.must_ask_in", s.must_ask_in);
-  return in.error;
+  read_classes(reader, settings);
+  read_tenants(reader, settings);
+  reader.integer("balancers", settings.balancers);
+  reader.integer("rank", settings.rank);
+  reader.integer("az", settings.zone);
+  const auto zones = reader.list("failure_domains");
+  if (!zones.empty()) settings.zones = static_cast<int>(zones.size());
+  reader.number("over_share_worth", settings.over_quota_weight);
+  reader.choice<bool>("worth_by", settings.priority_weight_by_work, {{"request", false}, {"work", true}});
+  reader.choice<bool>("registry_mode", settings.list_on_request, {{"pushed", false}, {"on_request", true}});
+  reader.choice<bool>("registry_mode", settings.list_pushed, {{"pushed", true}, {"on_request", false}});
+  reader.choice<WeightSource>("weight_source", settings.weights,
+                              {{"silent", WeightSource::silent},
+                               {"nominal", WeightSource::nominal},
+                               {"rough", WeightSource::rough},
+                               {"live", WeightSource::live}});
+  reader.flag("callers.marks_retry", settings.marks_retry);
+  reader.flag("family_info.resume", settings.resume);
+  reader.flag("permissions.may_cancel", settings.may_cancel);
+  reader.flag("permissions.may_duplicate", settings.may_duplicate);
+  reader.flag("permissions.probing", settings.may_probe);
+  reader.flag("permissions.peers", settings.may_peer);
+  reader.flag("permissions.retry_after", settings.retry_after);
+  reader.integer("permissions.most_tries", settings.max_attempts);
+  reader.number("permissions.max_retry_after", settings.max_retry_after);
+  reader.number("permissions.dial_timeout", settings.dial_timeout);
+  reader.number("prices.cross_zone", settings.price_cross_zone);
+  reader.number("prices.waste", settings.price_waste);
+  reader.number("prices.late_fail", settings.price_late_fail);
+  reader.number("invariants.cold_from", settings.cold_from);
+  reader.number("invariants.cold", settings.cold_s);
+  reader.number("invariants.fall_multiple", settings.fall_multiple);
+  reader.number("invariants.fall", settings.fall_s);
+  reader.number("invariants.must_ask_in", settings.must_ask_in);
+  return reader.error;
 }
 
 }  // namespace flintglade::policy
--- a/src/simulator_adapter/boot_info.h
+++ b/src/simulator_adapter/boot_info.h
@@ -1,4 +1,5 @@
-// Turns an instance's path=value lines into Settings. Unknown paths are skipped.
+// Parses the path=value lines with which the simulator configures an instance into Settings. Skips unknown
+// paths.
 #pragma once
 
 #include <string>
@@ -8,7 +9,8 @@
 
 namespace flintglade::policy {
 
-// Gives an empty string, or one line that says what could not be read.
+// Returns an empty string, or an error message of one line. The settings may have changed in part if it
+// fails.
 std::string parse_boot_info(std::string_view text, Settings& settings);
 
 }  // namespace flintglade::policy
--- a/src/simulator_adapter/simhost.cpp
+++ b/src/simulator_adapter/simhost.cpp
@@ -1,4 +1,5 @@
-// The adapter: hosts many isolated Balancer instances behind the simulator's pipe. It decides nothing.
+// Runs many independent Balancer instances for the simulator, which sends batches of events to standard input
+// and reads the replies from standard output. Contains no decision logic.
 #include <cstdio>
 #include <cstring>
 #include <map>
@@ -15,14 +16,14 @@
 
 class Host {
  public:
-  // Handles one batch; gives an empty string, or one line that says what was wrong.
-  std::string batch(double clock, const std::uint8_t* bytes, std::size_t size, std::uint32_t records) {
+  // Handles one batch. Returns an empty string or an error message of one line.
+  std::string handle_batch(double clock, const std::uint8_t* bytes, std::size_t size, std::uint32_t records) {
     wire::BatchReader reader(bytes, size, records);
     clock_ = clock;
     current_ = instances_.end();
-    addressed_ = false;
+    instance_selected_ = false;
     while (error_.empty() && reader.next(event_)) {
-      std::visit([this](auto& e) { handle(e); }, event_);
+      std::visit([this](auto& event) { handle(event); }, event_);
     }
     return error_.empty() ? reader.error() : error_;
   }
@@ -32,59 +33,60 @@
   Balancer* balancer() {
     if (current_ != instances_.end()) return &current_->second;
     if (error_.empty())
-      error_ = addressed_ ? "an event for an instance that was not started" : "an event before INSTANCE";
+      error_ =
+          instance_selected_ ? "an event for an instance that was not started" : "an event before INSTANCE";
     return nullptr;
   }
-  void handle(const wire::Instance& e) {
-    index_ = e.index;
-    addressed_ = true;
+  void handle(const wire::Instance& event) {
+    index_ = event.index;
+    instance_selected_ = true;
     current_ = instances_.find(index_);
     reply_.set_instance(index_);
   }
-  void handle(const wire::Provision& e) {
-    if (!addressed_) {
+  void handle(const wire::Provision& event) {
+    if (!instance_selected_) {
       error_ = "PROVISION before INSTANCE";
       return;
     }
     Settings settings;
-    error_ = parse_boot_info(e.boot_info, settings);
+    error_ = parse_boot_info(event.boot_info, settings);
     if (!error_.empty()) return;
     instances_.erase(index_);
-    current_ = instances_.emplace(index_, Balancer(std::move(settings), e.seed, clock_)).first;
+    current_ = instances_.emplace(index_, Balancer(std::move(settings), event.seed, clock_)).first;
   }
   void handle(const wire::Detach&) {
     instances_.erase(index_);
     current_ = instances_.end();
   }
-  void handle(const EndpointListChange& e) {
-    if (auto* b = balancer()) b->on_endpoint_list(clock_, e, reply_);
+  void handle(const EndpointListChange& event) {
+    if (auto* instance = balancer()) instance->on_endpoint_list(clock_, event, reply_);
   }
-  void handle(const NewRequest& e) {
-    if (auto* b = balancer()) b->on_request(clock_, e, reply_);
+  void handle(const NewRequest& event) {
+    if (auto* instance = balancer()) instance->on_request(clock_, event, reply_);
   }
-  void handle(const FirstEvent& e) {
-    if (auto* b = balancer()) b->on_first_event(clock_, e, reply_);
+  void handle(const FirstEvent& event) {
+    if (auto* instance = balancer()) instance->on_first_event(clock_, event, reply_);
   }
-  void handle(const AttemptResult& e) {
-    if (auto* b = balancer()) b->on_attempt_result(clock_, e, reply_);
+  void handle(const AttemptResult& event) {
+    if (auto* instance = balancer()) instance->on_attempt_result(clock_, event, reply_);
   }
-  void handle(const wire::Gone& e) {
-    if (auto* b = balancer()) b->on_client_disconnected(clock_, e.id, reply_);
+  void handle(const wire::ClientDisconnected& event) {
+    if (auto* instance = balancer()) instance->on_client_disconnected(clock_, event.id, reply_);
   }
-  void handle(const wire::Wake& e) {
-    if (auto* b = balancer()) b->on_timer(clock_, e.cookie, reply_);
+  void handle(const wire::TimerExpired& event) {
+    if (auto* instance = balancer()) instance->on_timer(clock_, event.cookie, reply_);
   }
-  void handle(const HealthCheckResult& e) {
-    if (auto* b = balancer()) b->on_health_check_result(clock_, e, reply_);
+  void handle(const HealthCheckResult& event) {
+    if (auto* instance = balancer()) instance->on_health_check_result(clock_, event, reply_);
   }
-  void handle(const wire::Peer& e) {
-    if (auto* b = balancer()) b->on_gossip(clock_, e.from, e.bytes, reply_);
+  void handle(const wire::PeerMessage& event) {
+    if (auto* instance = balancer()) instance->on_gossip(clock_, event.from, event.bytes, reply_);
   }
 
   std::map<std::uint32_t, Balancer> instances_;
   std::map<std::uint32_t, Balancer>::iterator current_ = instances_.end();
   std::uint32_t index_ = 0;
-  bool addressed_ = false;
+  bool instance_selected_ = false;
   double clock_ = 0.0;
   wire::Event event_;
   wire::ReplyWriter reply_;
@@ -96,18 +98,19 @@
   return 1;
 }
 
-// Reads in pieces, so that a length nobody follows up on takes no memory. Gives the number of bytes read.
+// Reads in chunks, so that a header with a large length that no data follows does not allocate that much
+// memory. Returns the number of bytes read.
 std::size_t read_body(std::vector<std::uint8_t>& body, std::size_t length) {
-  constexpr std::size_t kPiece = 1 << 20;
-  std::size_t have = 0;
-  while (have < length) {
-    const std::size_t want = std::min(kPiece, length - have);
-    if (body.size() < have + want) body.resize(have + want);
-    const std::size_t got = std::fread(body.data() + have, 1, want, stdin);
-    have += got;
-    if (got < want) break;
+  constexpr std::size_t kChunkSize = 1 << 20;
+  std::size_t total = 0;
+  while (total < length) {
+    const std::size_t chunk = std::min(kChunkSize, length - total);
+    if (body.size() < total + chunk) body.resize(total + chunk);
+    const std::size_t received = std::fread(body.data() + total, 1, chunk, stdin);
+    total += received;
+    if (received < chunk) break;
   }
-  return have;
+  return total;
 }
 
 }  // namespace
@@ -115,16 +118,17 @@
 int main() {
   Host host;
   std::vector<std::uint8_t> body;
-  std::uint8_t head[wire::kBatchHeader];
+  std::uint8_t header_bytes[wire::kBatchHeaderSize];
   while (true) {
-    const std::size_t got = std::fread(head, 1, sizeof head, stdin);
-    if (got == 0) return 0;
-    if (got < sizeof head) return diagnose("the input ends inside a frame's header");
-    const wire::BatchHeader header = wire::parse_header(head);
-    if (header.length > wire::kMaxFrame)
-      return diagnose("a frame of " + std::to_string(header.length) + " bytes");
+    const std::size_t received = std::fread(header_bytes, 1, sizeof header_bytes, stdin);
+    if (received == 0) return 0;
+    if (received < sizeof header_bytes) return diagnose("the input ends inside a frame's header");
+    const wire::BatchHeader header = wire::parse_header(header_bytes);
+    if (header.length > wire::kMaxFrameSize)
+      return diagnose("a frame of " + std::to_string(header.length) + " bytes is larger than the limit of " +
+                      std::to_string(wire::kMaxFrameSize) + " bytes");
     if (read_body(body, header.length) < header.length) return diagnose("the input ends inside a frame");
-    const std::string error = host.batch(header.clock, body.data(), header.length, header.records);
+    const std::string error = host.handle_batch(header.clock, body.data(), header.length, header.records);
     if (!error.empty()) host.reply().bail_out(error);
     const std::string& frame = host.reply().finish();
     if (std::fwrite(frame.data(), 1, frame.size(), stdout) != frame.size() || std::fflush(stdout) != 0) {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -9,15 +9,16 @@
 
 static_assert(std::endian::native == std::endian::little, "the frames are little-endian");
 
-// Reads fields and never leaves its record; after the first overrun ok() stays false and all reads give 0.
-class Fields {
+// Reads the fields of one record and never reads beyond its end. After the first overrun, ok() is false and
+// all reads return 0.
+class RecordReader {
  public:
-  Fields(const std::uint8_t* at, const std::uint8_t* end) : at_(at), end_(end) {}
+  RecordReader(const std::uint8_t* begin, const std::uint8_t* end) : position_(begin), end_(end) {}
   template <typename T>
   T get() {
     T value{};
-    if (!take(sizeof(T))) return value;
-    std::memcpy(&value, at_ - sizeof(T), sizeof(T));
+    if (!advance(sizeof(T))) return value;
+    std::memcpy(&value, position_ - sizeof(T), sizeof(T));
     return value;
   }
   ReplicaId replica() {
@@ -25,165 +26,165 @@
     return (static_cast<ReplicaId>(address) << 16) | get<std::uint16_t>();
   }
   std::string text(std::size_t length) {
-    if (!take(length)) return {};
-    return std::string(reinterpret_cast<const char*>(at_ - length), length);
+    if (!advance(length)) return {};
+    return std::string(reinterpret_cast<const char*>(position_ - length), length);
   }
   std::vector<float> report() {
     std::vector<float> values;
-    const std::size_t n = get<std::uint8_t>();
-    for (std::size_t i = 0; i < n && ok_; ++i) values.push_back(get<float>());
+    const std::size_t count = get<std::uint8_t>();
+    for (std::size_t i = 0; i < count && ok_; ++i) values.push_back(get<float>());
     return values;
   }
-  std::size_t left() const { return static_cast<std::size_t>(end_ - at_); }
+  std::size_t remaining() const { return static_cast<std::size_t>(end_ - position_); }
   bool ok() const { return ok_; }
-  void spoil() { ok_ = false; }
+  void mark_invalid() { ok_ = false; }
 
  private:
-  bool take(std::size_t n) {
-    if (!ok_ || n > left()) return ok_ = false;
-    at_ += n;
+  bool advance(std::size_t size) {
+    if (!ok_ || size > remaining()) return ok_ = false;
+    position_ += size;
     return true;
   }
-  const std::uint8_t* at_;
+  const std::uint8_t* position_;
   const std::uint8_t* end_;
   bool ok_ = true;
 };
 
-EndpointListChange read_list(Fields& f) {
+EndpointListChange read_endpoint_list(RecordReader& record) {
   EndpointListChange list;
-  const auto kind = f.get<std::uint8_t>();
-  if (kind > 3) f.spoil();
+  const auto kind = record.get<std::uint8_t>();
+  if (kind > 3) record.mark_invalid();
   list.kind = static_cast<ListKind>(kind);
-  list.version = f.get<std::uint32_t>();
-  const std::size_t n = f.get<std::uint32_t>();
-  constexpr std::size_t kEntry = 23;
-  if (n > f.left() / kEntry) {  // checked before anything is set aside for the entries
-    f.spoil();
+  list.version = record.get<std::uint32_t>();
+  const std::size_t count = record.get<std::uint32_t>();
+  constexpr std::size_t kEntrySize = 23;
+  if (count > record.remaining() / kEntrySize) {  // checked before memory is reserved for the entries
+    record.mark_invalid();
     return list;
   }
-  list.replicas.reserve(n);
-  for (std::size_t i = 0; i < n; ++i) {
-    Replica w;
-    w.id = f.replica();
-    w.zone = f.get<std::uint8_t>();
-    w.kind = f.get<std::uint8_t>();
-    w.cell = f.get<std::uint16_t>();
-    const auto health = f.get<std::uint8_t>();
-    if (health > 2) f.spoil();
-    w.health = static_cast<Health>(health);
-    w.size = f.get<float>();
-    w.started_at = f.get<double>();
-    list.replicas.push_back(w);
+  list.replicas.reserve(count);
+  for (std::size_t i = 0; i < count; ++i) {
+    Replica replica;
+    replica.id = record.replica();
+    replica.zone = record.get<std::uint8_t>();
+    replica.kind = record.get<std::uint8_t>();
+    replica.cell = record.get<std::uint16_t>();
+    const auto health = record.get<std::uint8_t>();
+    if (health > 2) record.mark_invalid();
+    replica.health = static_cast<Health>(health);
+    replica.size = record.get<float>();
+    replica.started_at = record.get<double>();
+    list.replicas.push_back(replica);
   }
   return list;
 }
 
-NewRequest read_query(Fields& f) {
-  NewRequest q;
-  q.id = f.get<std::uint64_t>();
-  q.request_class = f.get<std::uint16_t>();
-  q.tenant = f.get<std::uint16_t>();
-  q.key = f.get<std::uint64_t>();
-  q.deadline = f.get<double>();
-  q.hint = f.get<double>();
-  q.prefix_id = f.get<std::uint64_t>();
-  q.prompt_tokens = f.get<float>();
-  q.prefix_tokens = f.get<float>();
-  q.output_cap = f.get<float>();
-  const auto marks = f.get<std::uint8_t>();
-  if ((marks & 1) == 0) q.hint = 0.0;
-  q.is_retry = (marks & 2) != 0;
-  q.is_write = (marks & 4) != 0;
-  q.resumed = (marks & 16) != 0;
-  return q;
+NewRequest read_request(RecordReader& record) {
+  NewRequest request;
+  request.id = record.get<std::uint64_t>();
+  request.request_class = record.get<std::uint16_t>();
+  request.tenant = record.get<std::uint16_t>();
+  request.key = record.get<std::uint64_t>();
+  request.deadline = record.get<double>();
+  request.hint = record.get<double>();
+  request.prefix_id = record.get<std::uint64_t>();
+  request.prompt_tokens = record.get<float>();
+  request.prefix_tokens = record.get<float>();
+  request.output_cap = record.get<float>();
+  const auto flags = record.get<std::uint8_t>();
+  if ((flags & 1) == 0) request.hint = 0.0;
+  request.is_retry = (flags & 2) != 0;
+  request.is_write = (flags & 4) != 0;
+  request.resumed = (flags & 16) != 0;
+  return request;
 }
 
-FirstEvent read_accepted(Fields& f) {
-  FirstEvent a;
-  a.id = f.get<std::uint64_t>();
-  a.attempt = f.get<std::uint16_t>();
-  a.replica = f.replica();
-  a.latency = f.get<double>();
-  return a;
+FirstEvent read_first_event(RecordReader& record) {
+  FirstEvent event;
+  event.id = record.get<std::uint64_t>();
+  event.attempt = record.get<std::uint16_t>();
+  event.replica = record.replica();
+  event.latency = record.get<double>();
+  return event;
 }
 
-Outcome read_outcome(Fields& f) {
-  const auto value = f.get<std::uint16_t>();
-  if (value > 7) f.spoil();
+Outcome read_outcome(RecordReader& record) {
+  const auto value = record.get<std::uint16_t>();
+  if (value > 7) record.mark_invalid();
   return static_cast<Outcome>(value);
 }
 
-AttemptResult read_response(Fields& f) {
-  AttemptResult r;
-  r.id = f.get<std::uint64_t>();
-  r.attempt = f.get<std::uint16_t>();
-  r.replica = f.replica();
-  r.outcome = read_outcome(f);
-  r.latency = f.get<double>();
-  r.closed = f.get<std::uint8_t>() != 0;
-  r.cached_tokens = f.get<std::uint32_t>();
-  r.report = f.report();
-  return r;
+AttemptResult read_attempt_result(RecordReader& record) {
+  AttemptResult result;
+  result.id = record.get<std::uint64_t>();
+  result.attempt = record.get<std::uint16_t>();
+  result.replica = record.replica();
+  result.outcome = read_outcome(record);
+  result.latency = record.get<double>();
+  result.closed = record.get<std::uint8_t>() != 0;
+  result.cached_tokens = record.get<std::uint32_t>();
+  result.report = record.report();
+  return result;
 }
 
-HealthCheckResult read_pong(Fields& f) {
-  HealthCheckResult p;
-  p.latency = f.get<double>();
-  p.replica = f.replica();
-  p.outcome = read_outcome(f);
-  p.report = f.report();
-  return p;
+HealthCheckResult read_health_check_result(RecordReader& record) {
+  HealthCheckResult result;
+  result.latency = record.get<double>();
+  result.replica = record.replica();
+  result.outcome = read_outcome(record);
+  result.report = record.report();
+  return result;
 }
 
-Provision read_provision(Fields& f) {
-  Provision p;
-  p.seed = f.get<std::uint64_t>();
-  p.boot_info = f.text(f.get<std::uint32_t>());
-  return p;
+Provision read_provision(RecordReader& record) {
+  Provision provision;
+  provision.seed = record.get<std::uint64_t>();
+  provision.boot_info = record.text(record.get<std::uint32_t>());
+  return provision;
 }
 
-Peer read_peer(Fields& f) {
-  Peer p;
-  p.from = f.get<std::uint32_t>();
-  p.bytes = f.text(f.get<std::uint16_t>());
-  return p;
+PeerMessage read_peer_message(RecordReader& record) {
+  PeerMessage message;
+  message.from = record.get<std::uint32_t>();
+  message.bytes = record.text(record.get<std::uint16_t>());
+  return message;
 }
 
-// Gives false for a code that the wire page does not know.
-bool read_fields(std::uint8_t code, Fields& f, Event& event) {
+// Returns false for an unknown code.
+bool read_record(std::uint8_t code, RecordReader& record, Event& event) {
   switch (code) {
     case 1:
-      event = read_provision(f);
+      event = read_provision(record);
       return true;
     case 2:
-      event = read_list(f);
+      event = read_endpoint_list(record);
       return true;
     case 3:
-      event = read_query(f);
+      event = read_request(record);
       return true;
     case 4:
-      event = read_accepted(f);
+      event = read_first_event(record);
       return true;
     case 5:
-      event = read_response(f);
+      event = read_attempt_result(record);
       return true;
     case 6:
-      event = Gone{f.get<std::uint64_t>()};
+      event = ClientDisconnected{record.get<std::uint64_t>()};
       return true;
     case 7:
-      event = Wake{f.get<std::uint64_t>()};
+      event = TimerExpired{record.get<std::uint64_t>()};
       return true;
     case 8:
-      event = read_pong(f);
+      event = read_health_check_result(record);
       return true;
     case 9:
-      event = read_peer(f);
+      event = read_peer_message(record);
       return true;
     case 10:
       event = Detach{};
       return true;
     case 11:
-      event = Instance{f.get<std::uint32_t>()};
+      event = Instance{record.get<std::uint32_t>()};
       return true;
     default:
       return false;
@@ -193,45 +194,45 @@
 }  // namespace
 
 BatchHeader parse_header(const std::uint8_t* bytes) {
-  BatchHeader h;
-  std::memcpy(&h.length, bytes, 4);
-  std::memcpy(&h.clock, bytes + 4, 8);
-  std::memcpy(&h.records, bytes + 12, 4);
-  return h;
+  BatchHeader header;
+  std::memcpy(&header.length, bytes, 4);
+  std::memcpy(&header.clock, bytes + 4, 8);
+  std::memcpy(&header.records, bytes + 12, 4);
+  return header;
 }
 
-bool BatchReader::bad(std::string text) {
-  error_ = "record " + std::to_string(seen_) + ": " + std::move(text);
+bool BatchReader::fail(std::string text) {
+  error_ = "record " + std::to_string(records_read_) + ": " + std::move(text);
   return false;
 }
 
 bool BatchReader::next(Event& event) {
   if (!error_.empty()) return false;
-  const auto left = static_cast<std::size_t>(end_ - at_);
-  if (seen_ == records_)
-    return left == 0 ? false : bad(std::to_string(left) + " bytes after the last record");
-  if (left < 5) return bad("the frame ends inside a record's head");
-  const std::uint8_t code = at_[0];
+  const auto remaining = static_cast<std::size_t>(end_ - position_);
+  if (records_read_ == records_)
+    return remaining == 0 ? false : fail(std::to_string(remaining) + " bytes after the last record");
+  if (remaining < 5) return fail("the frame ends inside a record's head");
+  const std::uint8_t code = position_[0];
   std::uint32_t length = 0;
-  std::memcpy(&length, at_ + 1, 4);
-  if (length > left - 5) return bad("its length " + std::to_string(length) + " overruns the frame");
-  Fields fields(at_ + 5, at_ + 5 + length);
-  if (!read_fields(code, fields, event)) return bad("unknown code " + std::to_string(code));
-  if (!fields.ok()) return bad("code " + std::to_string(code) + " holds a count or value out of bounds");
-  if (fields.left() != 0) return bad("code " + std::to_string(code) + " has bytes to spare");
-  at_ += 5 + length;
-  ++seen_;
+  std::memcpy(&length, position_ + 1, 4);
+  if (length > remaining - 5) return fail("its length " + std::to_string(length) + " overruns the frame");
+  RecordReader record(position_ + 5, position_ + 5 + length);
+  if (!read_record(code, record, event)) return fail("unknown code " + std::to_string(code));
+  if (!record.ok()) return fail("code " + std::to_string(code) + " holds a count or value out of bounds");
+  if (record.remaining() != 0) return fail("code " + std::to_string(code) + " has bytes to spare");
+  position_ += 5 + length;
+  ++records_read_;
   return true;
 }
 
 namespace {
 template <typename T>
 void put(std::string& out, T value) {
-  char raw[sizeof(T)];
-  std::memcpy(raw, &value, sizeof(T));
-  out.append(raw, sizeof(T));
+  char bytes[sizeof(T)];
+  std::memcpy(bytes, &value, sizeof(T));
+  out.append(bytes, sizeof(T));
 }
-void put_worker(std::string& out, ReplicaId id) {
+void put_replica(std::string& out, ReplicaId id) {
   put(out, static_cast<std::uint32_t>(id >> 16));
   put(out, static_cast<std::uint16_t>(id & 0xffff));
 }
@@ -253,7 +254,7 @@
 void ReplyWriter::attempt(RequestId id, ReplicaId replica, double attempt_timeout) {
   begin(65, 22);
   put(bytes_, id);
-  put_worker(bytes_, replica);
+  put_replica(bytes_, replica);
   put(bytes_, attempt_timeout);
 }
 
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,5 @@
-// A bounded codec for the simulator's frames: bytes to events and actions to bytes. It decides nothing.
+// Codec for the simulator's frames: decodes events and encodes actions. Checks every length and count against
+// the frame that it reads. Contains no decision logic.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,8 @@
 
 namespace flintglade::policy::wire {
 
-inline constexpr std::size_t kBatchHeader = 16;
-inline constexpr std::uint32_t kMaxFrame = 512u << 20;  // no batch of a day comes near this
+inline constexpr std::size_t kBatchHeaderSize = 16;
+inline constexpr std::uint32_t kMaxFrameSize = 512u << 20;  // far larger than any batch in a simulated day
 
 struct BatchHeader {
   std::uint32_t length = 0;
@@ -21,46 +22,49 @@
 };
 BatchHeader parse_header(const std::uint8_t* bytes);
 
-struct Instance {
+// The events that have no type in the decision module, with their record codes.
+struct Instance {  // code 11: the following events are for this instance
   std::uint32_t index = 0;
 };
-struct Provision {
+struct Provision {  // code 1: start the instance
   std::uint64_t seed = 0;
   std::string boot_info;
 };
-struct Detach {};
-struct Gone {
+struct Detach {};  // code 10: end the instance
+
+struct ClientDisconnected {  // code 6
   RequestId id = 0;
 };
-struct Wake {
+struct TimerExpired {  // code 7
   std::uint64_t cookie = 0;
 };
-struct Peer {
+struct PeerMessage {  // code 9
   std::uint32_t from = 0;
   std::string bytes;
 };
 using Event = std::variant<Instance, Provision, Detach, EndpointListChange, NewRequest, FirstEvent,
-                           AttemptResult, Gone, Wake, HealthCheckResult, Peer>;
+                           AttemptResult, ClientDisconnected, TimerExpired, HealthCheckResult, PeerMessage>;
 
-// Reads the records of one batch. next() gives false at the end or at the first malformed record; error() is
-// then empty or says in one line what was wrong.
+// Reads the records of one batch. next() returns false at the end or at the first malformed record; error()
+// is then empty or an error message of one line.
 class BatchReader {
  public:
   BatchReader(const std::uint8_t* bytes, std::size_t size, std::uint32_t records)
-      : at_(bytes), end_(bytes + size), records_(records) {}
+      : position_(bytes), end_(bytes + size), records_(records) {}
   bool next(Event& event);
   const std::string& error() const { return error_; }
 
  private:
-  bool bad(std::string text);
-  const std::uint8_t* at_;
+  bool fail(std::string text);
+  const std::uint8_t* position_;
   const std::uint8_t* end_;
   std::uint32_t records_;
-  std::uint32_t seen_ = 0;
+  std::uint32_t records_read_ = 0;
   std::string error_;
 };
 
-// Collects the actions of one reply; a CONTEXT record goes out before the first action of another instance.
+// Collects the actions of one reply. Writes a CONTEXT record (code 78) before an action whenever the instance
+// differs from that of the action before.
 class ReplyWriter : public ActionSink {
  public:
   void set_instance(std::uint32_t index) { instance_ = index; }
@@ -71,7 +75,8 @@
   void set_timer(double span, std::uint64_t cookie) override;
   void subscribe(bool on) override;
   void bail_out(std::string_view text);
-  const std::string& finish();  // the whole frame, header first; valid until clear()
+  // Completes the header and returns the frame with it; valid until clear().
+  const std::string& finish();
   void clear();
 
  private:
