--- a/src/dns/client.cpp
+++ b/src/dns/client.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-// Ids have to be beyond guessing (RFC 5452, 9.2).
-std::uint64_t random_word() {
+// Query ids must be unpredictable (RFC 5452, section 9.2).
+std::uint64_t secure_random() {
   std::uint64_t out = 0;
   RAND_bytes(reinterpret_cast<unsigned char*>(&out), sizeof out);
   return out;
@@ -39,9 +39,10 @@
       udp_.bind(
           {address.is_v4() ? asio::ip::address(asio::ip::address_v4::any()) : asio::ip::address_v6::any(), 0},
           ec);
-    // Not connected: the kernel would hide what comes from elsewhere, and it is to be counted.
+    // Not connected: on a connected socket the kernel drops datagrams from other sources, and the resolver
+    // has to count them.
     if (!ec) udp_.send_to(asio::buffer(message_), {address, server.port}, 0, ec);
-    if (ec) return fail("cannot send: " + ec.message());
+    if (ec) return fail("cannot send the query: " + ec.message());
     receive();
   }
 
@@ -49,11 +50,11 @@
     message_ = std::move(framed);
     error_code ec;
     const auto address = asio::ip::make_address(server.host, ec);
-    if (ec) return fail("its address cannot be used");
-    tcp_.async_connect({address, server.port}, [self = shared_from_this()](error_code failed) {
-      if (failed) return self->fail("cannot connect: " + failed.message());
-      net::write_all(self->tcp_, {asio::buffer(self->message_)}, [self](error_code wrong) {
-        wrong ? self->fail("cannot ask: " + wrong.message()) : self->read();
+    if (ec) return fail("not a usable address: " + ec.message());
+    tcp_.async_connect({address, server.port}, [self = shared_from_this()](error_code connect_error) {
+      if (connect_error) return self->fail("cannot connect over TCP: " + connect_error.message());
+      net::write_all(self->tcp_, {asio::buffer(self->message_)}, [self](error_code write_error) {
+        write_error ? self->fail("cannot send the query over TCP: " + write_error.message()) : self->read();
       });
     });
   }
@@ -68,37 +69,38 @@
  private:
   void receive() {
     udp_.async_receive_from(
-        asio::buffer(buffer_), from_, [self = shared_from_this()](error_code ec, std::size_t n) {
+        asio::buffer(buffer_), from_, [self = shared_from_this()](error_code ec, std::size_t size) {
           if (self->owner_ == nullptr) return;
-          if (ec) return self->fail(ec.message());
-          self->owner_->event([&](core::Micros now) {
+          if (ec) return self->fail("cannot receive: " + ec.message());
+          self->owner_->handle_event([&](core::Micros now) {
             self->owner_->resolver_.datagram(now, self->id_,
                                              {self->from_.address().to_string(), self->from_.port()},
-                                             {self->buffer_.data(), n});
+                                             {self->buffer_.data(), size});
           });
           if (self->owner_ != nullptr) self->receive();
         });
   }
   void read() {
     if (owner_ == nullptr) return;
-    tcp_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](error_code ec, std::size_t n) {
+    tcp_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](error_code ec, std::size_t size) {
       if (self->owner_ == nullptr) return;
-      if (ec) return self->fail("ended: " + ec.message());
-      self->owner_->event([&](core::Micros now) {
-        self->owner_->resolver_.stream(now, self->id_, {self->buffer_.data(), n});
+      if (ec) return self->fail("TCP connection closed before the whole response: " + ec.message());
+      self->owner_->handle_event([&](core::Micros now) {
+        self->owner_->resolver_.stream(now, self->id_, {self->buffer_.data(), size});
       });
       self->read();
     });
   }
-  // In a turn of its own: the resolver may be the one that is sending.
+  // Posted, as the resolver may be in the middle of the call that sends.
   void fail(const std::string& why) {
     asio::post(udp_.get_executor(), [self = shared_from_this(), why] {
       if (self->owner_ == nullptr) return;
-      self->owner_->event([&](core::Micros now) { self->owner_->resolver_.broken(now, self->id_, why); });
+      self->owner_->handle_event(
+          [&](core::Micros now) { self->owner_->resolver_.transport_failed(now, self->id_, why); });
     });
   }
 
-  Client* owner_;  // empty once stopped
+  Client* owner_;  // null after stop()
   QueryId id_;
   udp::socket udp_;
   tcp::socket tcp_;
@@ -109,17 +111,17 @@
 
 Client::Client(asio::io_context& io, core::Clock& clock, ResolverSettings settings,
                ResolverListener& listener)
-    : io_(io), clock_(clock), alarm_(io), resolver_(std::move(settings), random_word, *this, listener) {}
+    : io_(io), clock_(clock), timer_(io), resolver_(std::move(settings), secure_random, *this, listener) {}
 
 Client::~Client() {
   for (auto& [id, socket] : sockets_) socket->stop();
 }
 
 void Client::configure(ResolverSettings settings, std::vector<std::string> names) {
-  event([&](core::Micros now) { resolver_.configure(now, std::move(settings), std::move(names)); });
+  handle_event([&](core::Micros now) { resolver_.configure(now, std::move(settings), std::move(names)); });
 }
 void Client::refresh(const std::string& name) {
-  event([&](core::Micros now) { resolver_.refresh(now, name); });
+  handle_event([&](core::Micros now) { resolver_.refresh(now, name); });
 }
 
 void Client::send(QueryId id, const HostPort& server, std::string message) {
@@ -137,16 +139,16 @@
   sockets_.erase(it);
 }
 
-void Client::run_iteration() {
+void Client::run_resolver() {
   resolver_.wake(clock_.now());
-  const core::Micros at = resolver_.next_timer();
-  if (at == core::kNever) {
-    alarm_.cancel();
+  const core::Micros next = resolver_.next_timer();
+  if (next == core::kNever) {
+    timer_.cancel();
     return;
   }
-  alarm_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(at)));
-  alarm_.async_wait([this](error_code ec) {
-    if (!ec) run_iteration();
+  timer_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(next)));
+  timer_.async_wait([this](error_code ec) {
+    if (!ec) run_resolver();
   });
 }
 
--- a/src/dns/client.h
+++ b/src/dns/client.h
@@ -1,5 +1,6 @@
-// The resolver's sockets, on the loop: a UDP socket of its own for each question (RFC 5452: the port is the
-// kernel's random choice), a TCP connection for each that was truncated. Decides nothing.
+// Runs a Resolver on the event loop and provides its sockets: a new UDP socket for each query, so that the
+// kernel chooses a random source port (RFC 5452), and a TCP connection for each query that the resolver sends
+// over TCP. All decisions are the resolver's.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -24,16 +25,16 @@
   void send(QueryId id, const HostPort& server, std::string message) override;
   void open(QueryId id, const HostPort& server, std::string framed) override;
   void close(QueryId id) override;
-  void run_iteration();  // lets the resolver act, and sets the alarm anew
-  template <typename F>
-  void event(F f) {
-    f(clock_.now());
-    run_iteration();
+  void run_resolver();  // runs what is due and sets the timer again
+  template <typename Handler>
+  void handle_event(Handler handler) {
+    handler(clock_.now());
+    run_resolver();
   }
 
   boost::asio::io_context& io_;
   core::Clock& clock_;
-  boost::asio::steady_timer alarm_;
+  boost::asio::steady_timer timer_;
   std::map<QueryId, std::shared_ptr<Socket>> sockets_;
   Resolver resolver_;
 };
--- a/src/dns/codec.cpp
+++ b/src/dns/codec.cpp
@@ -8,29 +8,29 @@
 namespace flintglade::dns {
 namespace {
 
-struct Freed {
-  void operator()(ldns_pkt* p) const { ldns_pkt_free(p); }
-  void operator()(ldns_rdf* r) const { ldns_rdf_deep_free(r); }
+struct LdnsDeleter {
+  void operator()(ldns_pkt* packet) const { ldns_pkt_free(packet); }
+  void operator()(ldns_rdf* rdf) const { ldns_rdf_deep_free(rdf); }
   void operator()(char* text) const { std::free(text); }
 };
-using Packet = std::unique_ptr<ldns_pkt, Freed>;
-using Rdf = std::unique_ptr<ldns_rdf, Freed>;
+using PacketPtr = std::unique_ptr<ldns_pkt, LdnsDeleter>;
+using RdfPtr = std::unique_ptr<ldns_rdf, LdnsDeleter>;
 
-std::string text(const ldns_rdf* rdf) {
+std::string to_text(const ldns_rdf* rdf) {
   if (rdf == nullptr) return "";
-  const std::unique_ptr<char, Freed> out(ldns_rdf2str(rdf));
+  const std::unique_ptr<char, LdnsDeleter> out(ldns_rdf2str(rdf));
   return out ? out.get() : "";
 }
-std::string name(const ldns_rdf* rdf) {
+std::string to_canonical_name(const ldns_rdf* rdf) {
   if (rdf == nullptr) return "";
-  const Rdf copy(ldns_rdf_clone(rdf));
+  const RdfPtr copy(ldns_rdf_clone(rdf));
   ldns_dname2canonical(copy.get());
-  return text(copy.get());
+  return to_text(copy.get());
 }
 
-bool read(const ldns_rr* rr, Record& out) {
+bool decode_record(const ldns_rr* rr, Record& out) {
   if (ldns_rr_get_class(rr) != LDNS_RR_CLASS_IN) return false;
-  out.owner = name(ldns_rr_owner(rr));
+  out.owner = to_canonical_name(ldns_rr_owner(rr));
   out.ttl = ldns_rr_ttl(rr);
   const std::size_t fields = ldns_rr_rd_count(rr);
   switch (ldns_rr_get_type(rr)) {
@@ -38,13 +38,13 @@
     case LDNS_RR_TYPE_AAAA:
       out.type = ldns_rr_get_type(rr) == LDNS_RR_TYPE_A ? Type::a : Type::aaaa;
       if (fields != 1) return false;
-      out.value = text(ldns_rr_rdf(rr, 0));
+      out.value = to_text(ldns_rr_rdf(rr, 0));
       return !out.value.empty();
     case LDNS_RR_TYPE_CNAME:
     case LDNS_RR_TYPE_NS:
       out.type = ldns_rr_get_type(rr) == LDNS_RR_TYPE_NS ? Type::ns : Type::cname;
       if (fields != 1) return false;
-      out.value = name(ldns_rr_rdf(rr, 0));
+      out.value = to_canonical_name(ldns_rr_rdf(rr, 0));
       return !out.value.empty();
     case LDNS_RR_TYPE_SOA:
       out.type = Type::soa;
@@ -57,28 +57,28 @@
       out.priority = ldns_rdf2native_int16(ldns_rr_rdf(rr, 0));
       out.weight = ldns_rdf2native_int16(ldns_rr_rdf(rr, 1));
       out.port = ldns_rdf2native_int16(ldns_rr_rdf(rr, 2));
-      out.value = name(ldns_rr_rdf(rr, 3));
+      out.value = to_canonical_name(ldns_rr_rdf(rr, 3));
       return !out.value.empty();
     default:
       return false;
   }
 }
 
-void read(const ldns_rr_list* list, std::size_t most, std::vector<Record>& out) {
+void decode_section(const ldns_rr_list* list, std::size_t max_records, std::vector<Record>& out) {
   const std::size_t count = list == nullptr ? 0 : ldns_rr_list_rr_count(list);
-  for (std::size_t i = 0; i < count && out.size() < most; ++i) {
+  for (std::size_t i = 0; i < count && out.size() < max_records; ++i) {
     Record record;
-    if (read(ldns_rr_list_rr(list, i), record)) out.push_back(std::move(record));
+    if (decode_record(ldns_rr_list_rr(list, i), record)) out.push_back(std::move(record));
   }
 }
 
-Packet parse(const std::uint8_t* bytes, std::size_t size) {
+PacketPtr parse(const std::uint8_t* bytes, std::size_t size) {
   ldns_pkt* packet = nullptr;
   if (ldns_wire2pkt(&packet, bytes, size) != LDNS_STATUS_OK) return nullptr;
-  return Packet(packet);
+  return PacketPtr(packet);
 }
 
-std::string wire(const ldns_pkt* packet) {
+std::string to_wire(const ldns_pkt* packet) {
   std::uint8_t* bytes = nullptr;
   std::size_t size = 0;
   if (ldns_pkt2wire(&bytes, packet, &size) != LDNS_STATUS_OK) return "";
@@ -87,29 +87,29 @@
   return out;
 }
 
-void push(ldns_pkt* packet, ldns_pkt_section section, const std::vector<Record>& records) {
-  for (const Record& r : records) {
-    std::string line = r.owner + " 0 IN ";
-    if (r.type == Type::a) line += "A " + r.value;
-    if (r.type == Type::aaaa) line += "AAAA " + r.value;
-    if (r.type == Type::cname) line += "CNAME " + r.value;
-    if (r.type == Type::ns) line += "NS " + r.value;
-    if (r.type == Type::soa) line += "SOA ns. admin. 1 60 60 60 " + std::to_string(r.minimum);
-    if (r.type == Type::srv)
-      line += "SRV " + std::to_string(r.priority) + " " + std::to_string(r.weight) + " " +
-              std::to_string(r.port) + " " + r.value;
+void append_records(ldns_pkt* packet, ldns_pkt_section section, const std::vector<Record>& records) {
+  for (const Record& record : records) {
+    std::string line = record.owner + " 0 IN ";
+    if (record.type == Type::a) line += "A " + record.value;
+    if (record.type == Type::aaaa) line += "AAAA " + record.value;
+    if (record.type == Type::cname) line += "CNAME " + record.value;
+    if (record.type == Type::ns) line += "NS " + record.value;
+    if (record.type == Type::soa) line += "SOA ns. admin. 1 60 60 60 " + std::to_string(record.minimum);
+    if (record.type == Type::srv)
+      line += "SRV " + std::to_string(record.priority) + " " + std::to_string(record.weight) + " " +
+              std::to_string(record.port) + " " + record.value;
     ldns_rr* rr = nullptr;
     if (ldns_rr_new_frm_str(&rr, line.c_str(), 0, nullptr, nullptr) != LDNS_STATUS_OK) continue;
-    ldns_rr_set_ttl(rr, r.ttl);
+    ldns_rr_set_ttl(rr, record.ttl);
     ldns_pkt_push_rr(packet, section, rr);
   }
 }
 
 }  // namespace
 
-std::string canonical(const std::string& from) {
-  const Rdf rdf(ldns_dname_new_frm_str(from.c_str()));
-  return name(rdf.get());
+std::string canonical(const std::string& name) {
+  const RdfPtr rdf(ldns_dname_new_frm_str(name.c_str()));
+  return to_canonical_name(rdf.get());
 }
 
 bool within(std::string_view name, std::string_view domain) {
@@ -121,24 +121,26 @@
 std::string encode_query(std::uint16_t id, const std::string& name, Type type, std::uint16_t udp_size) {
   ldns_rdf* owner = ldns_dname_new_frm_str(name.c_str());
   if (owner == nullptr) return "";
-  // The packet owns the name from here on.
-  const Packet packet(ldns_pkt_query_new(owner, static_cast<ldns_rr_type>(type), LDNS_RR_CLASS_IN, LDNS_RD));
+  // Takes ownership of the name.
+  const PacketPtr packet(
+      ldns_pkt_query_new(owner, static_cast<ldns_rr_type>(type), LDNS_RR_CLASS_IN, LDNS_RD));
   if (!packet) return "";
   ldns_pkt_set_id(packet.get(), id);
   if (udp_size > 0) ldns_pkt_set_edns_udp_size(packet.get(), udp_size);
-  return wire(packet.get());
+  return to_wire(packet.get());
 }
 
-std::optional<Message> decode(std::string_view bytes, std::size_t most_records) {
+std::optional<Message> decode(std::string_view bytes, std::size_t max_records) {
   const auto* data = reinterpret_cast<const std::uint8_t*>(bytes.data());
   if (bytes.size() < LDNS_HEADER_SIZE || bytes.size() > 65535) return std::nullopt;
   Message out;
-  Packet packet;
+  PacketPtr packet;
   if (LDNS_TC_WIRE(data)) {
-    // Its records may be cut anywhere: the header is told to hold none, and the rest is not looked at.
-    std::string head(bytes);
-    for (std::size_t i = 6; i < LDNS_HEADER_SIZE; ++i) head[i] = '\0';
-    packet = parse(reinterpret_cast<const std::uint8_t*>(head.data()), head.size());
+    // Its records may be cut off anywhere: setting their counts in the header to 0 makes the parser skip
+    // them.
+    std::string header(bytes);
+    for (std::size_t i = 6; i < LDNS_HEADER_SIZE; ++i) header[i] = '\0';
+    packet = parse(reinterpret_cast<const std::uint8_t*>(header.data()), header.size());
   } else {
     packet = parse(data, bytes.size());
   }
@@ -148,37 +150,37 @@
   const ldns_rr* question = ldns_rr_list_rr(questions, 0);
   if (ldns_rr_get_class(question) != LDNS_RR_CLASS_IN) return std::nullopt;
   out.id = ldns_pkt_id(packet.get());
-  out.answer = ldns_pkt_qr(packet.get());
+  out.is_response = ldns_pkt_qr(packet.get());
   out.truncated = ldns_pkt_tc(packet.get());
   out.edns = ldns_pkt_edns(packet.get());
   out.rcode = static_cast<std::uint8_t>(ldns_pkt_get_rcode(packet.get()));
-  out.question = name(ldns_rr_owner(question));
-  out.asked = static_cast<std::uint16_t>(ldns_rr_get_type(question));
-  read(ldns_pkt_answer(packet.get()), most_records, out.answers);
-  read(ldns_pkt_authority(packet.get()), most_records, out.authority);
-  read(ldns_pkt_additional(packet.get()), most_records, out.additional);
+  out.question_name = to_canonical_name(ldns_rr_owner(question));
+  out.question_type = static_cast<std::uint16_t>(ldns_rr_get_type(question));
+  decode_section(ldns_pkt_answer(packet.get()), max_records, out.answers);
+  decode_section(ldns_pkt_authority(packet.get()), max_records, out.authority);
+  decode_section(ldns_pkt_additional(packet.get()), max_records, out.additional);
   return out;
 }
 
-std::string encode(const Message& m) {
-  const Packet packet(ldns_pkt_new());
-  ldns_pkt_set_id(packet.get(), m.id);
-  ldns_pkt_set_qr(packet.get(), m.answer);
+std::string encode(const Message& message) {
+  const PacketPtr packet(ldns_pkt_new());
+  ldns_pkt_set_id(packet.get(), message.id);
+  ldns_pkt_set_qr(packet.get(), message.is_response);
   ldns_pkt_set_rd(packet.get(), true);
   ldns_pkt_set_ra(packet.get(), true);
-  ldns_pkt_set_tc(packet.get(), m.truncated);
-  ldns_pkt_set_rcode(packet.get(), m.rcode);
-  if (m.edns) ldns_pkt_set_edns_udp_size(packet.get(), 1232);
+  ldns_pkt_set_tc(packet.get(), message.truncated);
+  ldns_pkt_set_rcode(packet.get(), message.rcode);
+  if (message.edns) ldns_pkt_set_edns_udp_size(packet.get(), 1232);
   ldns_rr* question = ldns_rr_new();
   ldns_rr_set_question(question, true);
-  ldns_rr_set_owner(question, ldns_dname_new_frm_str(m.question.c_str()));
-  ldns_rr_set_type(question, static_cast<ldns_rr_type>(m.asked));
+  ldns_rr_set_owner(question, ldns_dname_new_frm_str(message.question_name.c_str()));
+  ldns_rr_set_type(question, static_cast<ldns_rr_type>(message.question_type));
   ldns_rr_set_class(question, LDNS_RR_CLASS_IN);
   ldns_pkt_push_rr(packet.get(), LDNS_SECTION_QUESTION, question);
-  push(packet.get(), LDNS_SECTION_ANSWER, m.answers);
-  push(packet.get(), LDNS_SECTION_AUTHORITY, m.authority);
-  push(packet.get(), LDNS_SECTION_ADDITIONAL, m.additional);
-  return wire(packet.get());
+  append_records(packet.get(), LDNS_SECTION_ANSWER, message.answers);
+  append_records(packet.get(), LDNS_SECTION_AUTHORITY, message.authority);
+  append_records(packet.get(), LDNS_SECTION_ADDITIONAL, message.additional);
+  return to_wire(packet.get());
 }
 
 }  // namespace flintglade::dns
--- a/tests/dns_records.h
+++ b/tests/dns_records.h
@@ -1,4 +1,4 @@
-// Records for tests, on the server's side.
+// Makes DNS records for the responses of stand-in servers.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 inline dns::Record record(const std::string& owner, dns::Type type, const std::string& value,
                           std::uint32_t ttl) {
-  dns::Record r;
-  r.owner = owner;
-  r.type = type;
-  r.value = value;
-  r.ttl = ttl;
-  return r;
+  dns::Record out;
+  out.owner = owner;
+  out.type = type;
+  out.value = value;
+  out.ttl = ttl;
+  return out;
 }
 
 }  // namespace flintglade::tests
--- a/tests/dns_server.cpp
+++ b/tests/dns_server.cpp
@@ -27,7 +27,7 @@
 }
 }  // namespace
 
-// Listener binds a port of the kernel's choice; UDP takes the same, or both try again.
+// The kernel chooses the TCP port. If it is taken for UDP, both sockets are opened again.
 DnsServer::DnsServer() : udp_(io_) {
   for (int i = 0; i < 50; ++i) {
     tcp_ = std::make_unique<Listener>([this](tcp::socket& s) { serve_tcp(s); });
@@ -41,7 +41,7 @@
     }
     udp_.close();
   }
-  throw std::runtime_error("no port for the DNS server");
+  throw std::runtime_error("DNS server: found no port that is free for both TCP and UDP in 50 tries");
 }
 
 DnsServer::~DnsServer() {
@@ -64,97 +64,100 @@
 }
 
 Message DnsServer::forged(const Message& query) const {
-  Message m = query;
-  m.answer = true;
-  Record r = record(query.question, Type::srv, "evil.hall.test.", 3600);
-  r.port = static_cast<std::uint16_t>(evil_.load());
-  m.answers.push_back(r);
-  m.additional.push_back(record("evil.hall.test.", Type::a, "127.0.0.1", 3600));
-  return m;
+  Message response = query;
+  response.is_response = true;
+  Record r = record(query.question_name, Type::srv, "evil.hall.test.", 3600);
+  r.port = static_cast<std::uint16_t>(forged_port_.load());
+  response.answers.push_back(r);
+  response.additional.push_back(record("evil.hall.test.", Type::a, "127.0.0.1", 3600));
+  return response;
 }
 
-// False: nothing is to be sent.
 bool DnsServer::answer(const std::string& bytes, bool tcp, std::string& out, DnsZone& zone) {
   const auto query = dns::decode(bytes, 10);
-  if (!query || query->answer) return false;
+  if (!query || query->is_response) return false;
   ++queries_;
-  Message m = *query;
-  m.answer = true;
-  m.additional.clear();
+  Message response = *query;
+  response.is_response = true;
+  response.additional.clear();
   std::string name;
   {
     const std::lock_guard lock(mutex_);
-    for (const auto& [key, z] : zones_) {
-      if (dns::within(query->question, key + ".test.")) {
+    for (const auto& [key, candidate] : zones_) {
+      if (dns::within(query->question_name, key + ".test.")) {
         name = key;
-        zone = z;
+        zone = candidate;
       }
     }
   }
   if (name.empty()) {
-    m.rcode = 5;
-    out = dns::encode(m);
+    response.rcode = 5;
+    out = dns::encode(response);
     return true;
   }
-  const std::string root = name + ".test.", srv = "_model._tcp." + root;
+  const std::string domain = name + ".test.", srv_name = "_model._tcp." + domain;
   const std::string& fault = zone.fault;
-  const auto type = static_cast<Type>(m.asked);
+  const auto type = static_cast<Type>(response.question_type);
   if (fault == "silent") return false;
   if (fault == "slow") std::this_thread::sleep_for(std::chrono::milliseconds(zone.argument));
-  std::string alias = m.question;
+  std::string alias = response.question_name;
   if (fault == "cname_loop" || fault == "cname") {
     const int links = fault == "cname" ? 3 : 20;
     for (int i = 0; i < links; ++i) {
-      const std::string next =
-          fault == "cname_loop" && i == links - 1 ? m.question : "link" + std::to_string(i) + "." + root;
-      if (type == Type::srv) m.answers.push_back(record(alias, Type::cname, next, zone.ttl));
+      const std::string next = fault == "cname_loop" && i == links - 1
+                                   ? response.question_name
+                                   : "link" + std::to_string(i) + "." + domain;
+      if (type == Type::srv) response.answers.push_back(record(alias, Type::cname, next, zone.ttl));
       if (type == Type::srv) alias = next;
     }
   }
-  if (fault == "servfail") m.rcode = 2;
-  if (fault == "refused") m.rcode = 5;
+  if (fault == "servfail") response.rcode = 2;
+  if (fault == "refused") response.rcode = 5;
   if (fault == "formerr" && query->edns) {
-    m.rcode = 1;
-    m.edns = false;
+    response.rcode = 1;
+    response.edns = false;
   }
-  // Of the SRV name alone: the addresses stand on.
+  // These two faults affect the SRV name only; address queries are still answered.
   if (fault == "nxdomain" && type == Type::srv) {
-    m.rcode = 3;
-    m.authority.push_back(soa(root));
+    response.rcode = 3;
+    response.authority.push_back(soa(domain));
   } else if (fault == "nodata" && type == Type::srv) {
-    m.authority.push_back(soa(root));
-  } else if (m.rcode == 0 && type == Type::srv && (m.question == srv || alias != m.question)) {
+    response.authority.push_back(soa(domain));
+  } else if (response.rcode == 0 && type == Type::srv &&
+             (response.question_name == srv_name || alias != response.question_name)) {
     for (const auto& r : zone.records) {
-      const bool none = r.target == ".";
-      Record target = record(alias, Type::srv, none ? "." : r.target + "." + root, zone.ttl);
+      const bool not_offered = r.target == ".";
+      Record target = record(alias, Type::srv, not_offered ? "." : r.target + "." + domain, zone.ttl);
       target.priority = r.priority;
       target.weight = r.weight;
       target.port = r.port;
-      m.answers.push_back(target);
-      if (zone.glue && !none)
-        m.additional.push_back(record(r.target + "." + root, Type::a, r.address, zone.ttl));
+      response.answers.push_back(target);
+      if (zone.glue && !not_offered)
+        response.additional.push_back(record(r.target + "." + domain, Type::a, r.address, zone.ttl));
     }
     if (fault == "foreign_glue") {
-      for (auto& r : m.additional) r.value = "127.0.0.9";
-      for (auto& r : m.additional) r.owner = "x." + std::string("elsewhere.test.");
+      for (auto& r : response.additional) r.value = "127.0.0.9";
+      for (auto& r : response.additional) r.owner = "x." + std::string("elsewhere.test.");
     }
-  } else if (m.rcode == 0 && type == Type::a && fault != "addressless") {
+  } else if (response.rcode == 0 && type == Type::a && fault != "addressless") {
     const std::lock_guard lock(mutex_);
-    const auto known = addresses_.find(m.question);
-    if (known != addresses_.end()) m.answers.push_back(record(m.question, Type::a, known->second, zone.ttl));
+    const auto address = addresses_.find(response.question_name);
+    if (address != addresses_.end())
+      response.answers.push_back(record(response.question_name, Type::a, address->second, zone.ttl));
   }
-  if (m.rcode == 0 && m.answers.empty() && m.authority.empty()) m.authority.push_back(soa(root));
-  if (fault == "addressless" && type != Type::srv) m.rcode = 2;
-  if (fault == "wrong_id") m.id ^= 0x5555;
-  if (fault == "wrong_question") m.question = "other." + root;
-  const bool srv_asked = type == Type::srv;
-  const bool cut = fault == "tc" || fault == "tcp_stall" || fault == "tcp_bytes" || fault == "tcp_half";
-  if (!tcp && ((cut && srv_asked) || dns::encode(m).size() > 1232)) {
-    m.truncated = true;
-    m.answers.clear();
-    m.additional.clear();
+  if (response.rcode == 0 && response.answers.empty() && response.authority.empty())
+    response.authority.push_back(soa(domain));
+  if (fault == "addressless" && type != Type::srv) response.rcode = 2;
+  if (fault == "wrong_id") response.id ^= 0x5555;
+  if (fault == "wrong_question") response.question_name = "other." + domain;
+  const bool is_srv_query = type == Type::srv;
+  const bool truncates = fault == "tc" || fault == "tcp_stall" || fault == "tcp_bytes" || fault == "tcp_half";
+  if (!tcp && ((truncates && is_srv_query) || dns::encode(response).size() > 1232)) {
+    response.truncated = true;
+    response.answers.clear();
+    response.additional.clear();
   }
-  out = dns::encode(m);
+  out = dns::encode(response);
   if (fault == "garbage") out = std::string(40, '\xee');
   if (fault == "short") out = out.substr(0, 9);
   return true;
@@ -162,29 +165,30 @@
 
 void DnsServer::serve_udp() {
   std::array<char, 4096> buffer{};
-  udp::socket other(io_, {asio::ip::address_v4::loopback(), 0});
+  udp::socket other_port(io_, {asio::ip::address_v4::loopback(), 0});
   for (;;) {
     udp::endpoint from;
     error_code ec;
-    const std::size_t n = udp_.receive_from(asio::buffer(buffer), from, 0, ec);
+    const std::size_t size = udp_.receive_from(asio::buffer(buffer), from, 0, ec);
     if (stopping_) return;
     if (ec) continue;
-    const std::string query(buffer.data(), n);
+    const std::string query(buffer.data(), size);
     std::string out;
     DnsZone zone;
     if (!answer(query, false, out, zone)) continue;
     if (zone.fault == "forged") {
-      // Three lies before the truth: of another id, of another question, from another port.
-      const auto asked = dns::decode(query, 10);
-      Message lie = forged(*asked);
-      lie.id ^= 1;
-      udp_.send_to(asio::buffer(dns::encode(lie)), from, 0, ec);
-      lie = forged(*asked);
-      lie.question = "_model._tcp.other.test.";
-      udp_.send_to(asio::buffer(dns::encode(lie)), from, 0, ec);
-      other.send_to(asio::buffer(dns::encode(forged(*asked))), from, 0, ec);
+      // Three forged responses precede the genuine one: with another id, with another question, and from
+      // another port.
+      const auto decoded_query = dns::decode(query, 10);
+      Message forgery = forged(*decoded_query);
+      forgery.id ^= 1;
+      udp_.send_to(asio::buffer(dns::encode(forgery)), from, 0, ec);
+      forgery = forged(*decoded_query);
+      forgery.question_name = "_model._tcp.other.test.";
+      udp_.send_to(asio::buffer(dns::encode(forgery)), from, 0, ec);
+      other_port.send_to(asio::buffer(dns::encode(forged(*decoded_query))), from, 0, ec);
     }
-    (zone.fault == "wrong_port" ? other : udp_).send_to(asio::buffer(out), from, 0, ec);
+    (zone.fault == "wrong_port" ? other_port : udp_).send_to(asio::buffer(out), from, 0, ec);
   }
 }
 
@@ -206,8 +210,8 @@
   }
   const std::size_t step = zone.fault == "tcp_bytes" ? 1 : out.size();
   socket.set_option(tcp::no_delay(true), ec);
-  for (std::size_t at = 0; at < out.size() && !ec; at += step)
-    asio::write(socket, asio::buffer(out.data() + at, std::min(step, out.size() - at)), ec);
+  for (std::size_t offset = 0; offset < out.size() && !ec; offset += step)
+    asio::write(socket, asio::buffer(out.data() + offset, std::min(step, out.size() - offset)), ec);
 }
 
 }  // namespace flintglade::tests
--- a/tests/dns_server.h
+++ b/tests/dns_server.h
@@ -1,5 +1,5 @@
-// A DNS server on loopback for tests: UDP and TCP at one port, any number of zones, each with faults to
-// order. Its messages are made by the same library as the router's, its behaviour by nobody but the test.
+// A DNS server on loopback for tests, with UDP and TCP on one port. It serves any number of zones, and a test
+// can inject a fault into each. Its messages are encoded by the same library as the router's.
 #pragma once
 
 #include <atomic>
@@ -16,10 +16,10 @@
 
 namespace flintglade::tests {
 
-// Of the zone Z, SRV records stand at _model._tcp.Z.test, and its targets are NAME.Z.test.
+// The zone Z has its SRV records at _model._tcp.Z.test, and their targets are NAME.Z.test.
 struct DnsZone {
   struct Srv {
-    std::string target;  // NAME; '.': not offered
+    std::string target;  // NAME; '.': the service is not offered (RFC 2782)
     unsigned short port = 0;
     std::uint16_t priority = 0, weight = 1;
     std::string address = "127.0.0.1";
@@ -27,9 +27,12 @@
   std::vector<Srv> records;
   std::uint32_t ttl = 1;
   bool glue = true;
-  // servfail, refused, nxdomain, nodata, formerr, silent, slow (MS), wrong_id, wrong_question, wrong_port,
-  // garbage, short, tc, tcp_stall, tcp_bytes, tcp_half, cname_loop, cname (a chain of three), forged,
-  // foreign_glue, addressless
+  // servfail, refused, nxdomain, nodata, formerr, silent, slow (argument: delay in ms), wrong_id,
+  // wrong_question, wrong_port, garbage, short, tc (truncated over UDP; as for the three that follow),
+  // tcp_stall (half of the response over TCP, then nothing), tcp_half (half of it, then the connection
+  // closes), tcp_bytes (one byte per write), cname_loop, cname (a chain of three), forged (three forged
+  // responses before the genuine one), foreign_glue (glue for another domain), addressless (address queries
+  // get SERVFAIL)
   std::string fault;
   int argument = 0;
 };
@@ -42,12 +45,13 @@
   void zone(const std::string& name, const DnsZone& zone);
   DnsZone zone(const std::string& name);
   int queries() const { return queries_; }
-  // What a forged answer points at: nothing may ever call it.
-  void evil(unsigned short port) { evil_ = port; }
+  // The port that forged responses point to; the router must never send a request to it.
+  void evil(unsigned short port) { forged_port_ = port; }
 
  private:
   void serve_udp();
   void serve_tcp(boost::asio::ip::tcp::socket& socket);
+  // Returns false if no response is to be sent.
   bool answer(const std::string& query, bool tcp, std::string& out, DnsZone& zone);
   dns::Message forged(const dns::Message& query) const;
 
@@ -57,9 +61,9 @@
   unsigned short port_ = 0;
   std::mutex mutex_;
   std::map<std::string, DnsZone> zones_;
-  std::map<std::string, std::string>
-      addresses_;  // of every target there has been: they outlive its SRV record
-  std::atomic<int> queries_ = 0, evil_ = 1;
+  // By name, of all targets so far: an address stays after its SRV record was removed.
+  std::map<std::string, std::string> addresses_;
+  std::atomic<int> queries_ = 0, forged_port_ = 1;
   std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
