--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -17,39 +17,39 @@
 
 namespace pb = google::protobuf;
 
-std::string number(double value) {
+std::string format_number(double value) {
   const std::string out = std::to_string(value);
   const std::size_t end = out.find_last_not_of('0');
   return out.substr(0, end + 1 - (end == out.find('.')));
 }
-using Tree = pb::TextFormat::ParseInfoTree;
+using ParseTree = pb::TextFormat::ParseInfoTree;
 
-constexpr std::size_t kLargestFile = 4u << 20;
-constexpr std::size_t kMostSources = 64, kMostServers = 16;
+constexpr std::size_t kMaxFileBytes = 4u << 20;
+constexpr std::size_t kMaxSources = 64, kMaxServers = 16;
 
-// Only the first thing that is wrong is told: the rest is most often its consequence.
+// Keeps the first error only: later ones are usually its consequences.
 class FirstError final : public pb::io::ErrorCollector {
  public:
-  void AddError(int line, int column, const std::string& message) override {
-    if (text.empty()) {
-      at = std::to_string(line + 1) + ":" + std::to_string(column + 1);
-      text = message;
+  void AddError(int line, int column, const std::string& text) override {
+    if (message.empty()) {
+      position = std::to_string(line + 1) + ":" + std::to_string(column + 1);
+      message = text;
     }
   }
-  std::string at, text;
+  std::string position, message;
 };
 
-// The messages that were open where parsing ended: those whose inside is known but whose place is not yet,
-// since the parser notes a field's place at its end.
-std::string open_path(const pb::Descriptor* type, const Tree& tree) {
-  for (int f = 0; f < type->field_count(); ++f) {
-    const pb::FieldDescriptor* field = type->field(f);
+// The path of the field in which parsing failed. The parser records a field's location only at the end of the
+// field, so an unfinished one has a subtree but no location.
+std::string path_of_unfinished_field(const pb::Descriptor* type, const ParseTree& tree) {
+  for (int index = 0; index < type->field_count(); ++index) {
+    const pb::FieldDescriptor* field = type->field(index);
     if (field->message_type() == nullptr) continue;
     const auto nested = [&](int i) { return tree.GetTreeForNested(field, field->is_repeated() ? i : -1); };
     for (int i = 0; nested(i) != nullptr; ++i) {
       if (tree.GetLocation(field, field->is_repeated() ? i : -1).line < 0) {
         std::string path = field->name() + (field->is_repeated() ? "[" + std::to_string(i) + "]" : "");
-        const std::string inner = open_path(field->message_type(), *nested(i));
+        const std::string inner = path_of_unfinished_field(field->message_type(), *nested(i));
         return inner.empty() ? path : path + "." + inner;
       }
       if (!field->is_repeated()) break;
@@ -58,21 +58,21 @@
   return "";
 }
 
-// A walk down the file beside the places that the parser noted, so that a check can name both.
-class Place {
+// A field of the file: its path, and its position as recorded by the parser. Error messages have both.
+class Location {
  public:
-  Place(std::string file, const pb::Descriptor* type, const Tree* tree)
+  Location(std::string file, const pb::Descriptor* type, const ParseTree* tree)
       : file_(std::move(file)), type_(type), tree_(tree) {}
-  Place in(const char* name, int index = -1) const {
+  Location field(const char* name, int index = -1) const {
     const pb::FieldDescriptor* field = type_->FindFieldByName(name);
-    Place out = *this;
+    Location out = *this;
     out.path_ =
         path_ + (path_.empty() ? "" : ".") + name + (index < 0 ? "" : "[" + std::to_string(index) + "]");
     if (tree_ != nullptr) {
-      const auto at = tree_->GetLocation(field, index);
-      if (at.line >= 0) {
-        out.line_ = at.line;
-        out.column_ = at.column;
+      const auto location = tree_->GetLocation(field, index);
+      if (location.line >= 0) {
+        out.line_ = location.line;
+        out.column_ = location.column;
       }
     }
     if (field->message_type() != nullptr) {
@@ -81,7 +81,7 @@
     }
     return out;
   }
-  std::string wrong(const std::string& what) const {
+  std::string error(const std::string& what) const {
     return file_ + ":" + std::to_string(line_ + 1) + ":" + std::to_string(column_ + 1) + ": " +
            (path_.empty() ? "" : path_ + ": ") + what;
   }
@@ -89,93 +89,95 @@
  private:
   std::string file_, path_;
   const pb::Descriptor* type_;
-  const Tree* tree_;
+  const ParseTree* tree_;
   int line_ = 0, column_ = 0;
 };
 
-// Each number has its bounds at its check; outside them a setting is more likely a slip than a wish.
-std::string numbers(const pb::Message& message, const Place& place,
-                    std::initializer_list<std::tuple<const char*, double, double>> bounds) {
+// Checks that each of these fields, if set, is within its bounds. A value outside is most likely a mistake.
+std::string check_ranges(const pb::Message& message, const Location& at,
+                         std::initializer_list<std::tuple<const char*, double, double>> bounds) {
   const pb::Reflection* reflection = message.GetReflection();
-  for (const auto& [name, least, most] : bounds) {
+  for (const auto& [name, min, max] : bounds) {
     const pb::FieldDescriptor* field = message.GetDescriptor()->FindFieldByName(name);
     if (!reflection->HasField(message, field)) continue;
     const double value = field->cpp_type() == pb::FieldDescriptor::CPPTYPE_DOUBLE
                              ? reflection->GetDouble(message, field)
                              : reflection->GetUInt32(message, field);
-    if (!(value >= least && value <= most))
-      return place.in(name).wrong("not from " + number(least) + " to " + number(most));
+    if (!(value >= min && value <= max))
+      return at.field(name).error("not from " + format_number(min) + " to " + format_number(max) + ": " +
+                                  format_number(value));
   }
   return "";
 }
 
 bool is_host_port(const std::string& text) {
-  config::HostPort at;
-  return config::parse_host_port(text, at);
+  config::HostPort parsed;
+  return config::parse_host_port(text, parsed);
 }
 
-std::string check_tensors(const Place& model, const char* field,
+std::string check_tensors(const Location& model, const char* field,
                           const pb::RepeatedPtrField<deploy::Tensor>& tensors) {
   for (int i = 0; i < tensors.size(); ++i) {
-    const Place at = model.in(field, i);
-    if (tensors[i].name().empty()) return at.wrong("a tensor needs a name");
-    if (tensors[i].datatype().empty()) return at.wrong("a tensor needs a datatype");
-    if (tensors[i].shape().empty()) return at.wrong("a tensor needs a shape");
+    const Location at = model.field(field, i);
+    if (tensors[i].name().empty()) return at.error("a tensor needs a name");
+    if (tensors[i].datatype().empty()) return at.error("a tensor needs a datatype");
+    if (tensors[i].shape().empty()) return at.error("a tensor needs a shape");
   }
   return "";
 }
 
-std::string check(const deploy::Tls& tls, const Place& at) {
-  if (tls.certificate().empty()) return at.wrong("certificate: there is none");
-  if (tls.key().empty()) return at.wrong("key: there is none");
+std::string check(const deploy::Tls& tls, const Location& at) {
+  if (tls.certificate().empty()) return at.error("certificate: not set");
+  if (tls.key().empty()) return at.error("key: not set");
   if (tls.client_ca().empty() && (tls.bound_size() > 0 || tls.bound_only()))
-    return at.wrong("client_ca: tenants are bound to certificates, and none is asked for");
+    return at.error("client_ca: not set, but bound and bound_only need client certificates");
   for (int i = 0; i < tls.bound_size(); ++i) {
-    const Place here = at.in("bound", i);
-    if (tls.bound(i).san().empty()) return here.wrong("san: there is none");
-    if (tls.bound(i).tenant().empty()) return here.wrong("tenant: there is none");
+    const Location here = at.field("bound", i);
+    if (tls.bound(i).san().empty()) return here.error("san: not set");
+    if (tls.bound(i).tenant().empty()) return here.error("tenant: not set");
     if (tls.bound(i).san().find('*') < tls.bound(i).san().size() - 1)
-      return here.in("san").wrong("'*' stands at the end or not at all");
+      return here.field("san").error("'*' stands at the end or not at all");
   }
-  return numbers(tls, at, {{"look_every_s", 0, 86400}});
+  return check_ranges(tls, at, {{"look_every_s", 0, 86400}});
 }
 
-std::string check(const deploy::ReplicaTls& tls, const Place& at) {
-  if (tls.ca().empty()) return at.wrong("ca: there is none, and replicas could be anybody");
+std::string check(const deploy::ReplicaTls& tls, const Location& at) {
+  if (tls.ca().empty()) return at.error("ca: there is none, so replicas could not be authenticated");
   if (tls.certificate().empty() != tls.key().empty())
-    return at.wrong("certificate and key: there is one without the other");
-  return numbers(tls, at, {{"look_every_s", 0, 86400}});
+    return at.error("certificate and key: only one of them is set");
+  return check_ranges(tls, at, {{"look_every_s", 0, 86400}});
 }
 
-std::string check(const deploy::KServe& kserve, const Place& at) {
-  if (!is_host_port(kserve.listen())) return at.in("listen").wrong("not of the form ADDRESS:PORT");
-  if (kserve.replica_port() > 65535) return at.in("replica_port").wrong("not a port");
-  std::string error = numbers(kserve, at, {{"stream_requests", 1, 1024}});
+std::string check(const deploy::KServe& kserve, const Location& at) {
+  if (!is_host_port(kserve.listen())) return at.field("listen").error("not of the form ADDRESS:PORT");
+  if (kserve.replica_port() > 65535)
+    return at.field("replica_port").error("not a port number: " + std::to_string(kserve.replica_port()));
+  std::string error = check_ranges(kserve, at, {{"stream_requests", 1, 1024}});
   if (error.empty())
-    error = numbers(kserve.limits(), at.in("limits"),
-                    {{"streams", 1, 65536},
-                     {"streams_per_connection", 1, 65536},
-                     {"transport_mb", 1, 4096},
-                     {"first_request_s", 0.05, 3600},
-                     {"connection_age_s", 0, 604800},
-                     {"least_ping_s", 0.01, 3600},
-                     {"replica_ping_s", 0, 3600},
-                     {"connections", 1, 4096},
-                     {"connection_idle_s", 0, 604800}});
+    error = check_ranges(kserve.limits(), at.field("limits"),
+                         {{"streams", 1, 65536},
+                          {"streams_per_connection", 1, 65536},
+                          {"transport_mb", 1, 4096},
+                          {"first_request_s", 0.05, 3600},
+                          {"connection_age_s", 0, 604800},
+                          {"least_ping_s", 0.01, 3600},
+                          {"replica_ping_s", 0, 3600},
+                          {"connections", 1, 4096},
+                          {"connection_idle_s", 0, 604800}});
   if (error.empty())
-    error = numbers(kserve.replica_metadata(), at.in("replica_metadata"),
-                    {{"entries", 1, 4096}, {"ttl_s", 0, 86400}, {"stale_s", 0, 604800}});
-  if (error.empty() && kserve.has_tls()) error = check(kserve.tls(), at.in("tls"));
-  if (error.empty() && kserve.has_replica_tls()) error = check(kserve.replica_tls(), at.in("replica_tls"));
+    error = check_ranges(kserve.replica_metadata(), at.field("replica_metadata"),
+                         {{"entries", 1, 4096}, {"ttl_s", 0, 86400}, {"stale_s", 0, 604800}});
+  if (error.empty() && kserve.has_tls()) error = check(kserve.tls(), at.field("tls"));
+  if (error.empty() && kserve.has_replica_tls()) error = check(kserve.replica_tls(), at.field("replica_tls"));
   if (!error.empty()) return error;
-  if (kserve.models().empty()) return at.wrong("models: there is none");
+  if (kserve.models().empty()) return at.error("models: there is none");
   std::set<std::string> names;
   for (int i = 0; i < kserve.models_size(); ++i) {
     const deploy::Model& model = kserve.models(i);
-    const Place here = at.in("models", i);
-    if (model.name().empty()) return here.wrong("a model needs a name");
+    const Location here = at.field("models", i);
+    if (model.name().empty()) return here.error("a model needs a name");
     if (!names.insert(model.name()).second)
-      return here.in("name").wrong("a model of this name stands before");
+      return here.field("name").error("duplicate model name: " + model.name());
     error = check_tensors(here, "inputs", model.inputs());
     if (error.empty()) error = check_tensors(here, "outputs", model.outputs());
     if (!error.empty()) return error;
@@ -183,21 +185,22 @@
   return "";
 }
 
-// RFC 1035, 3.1: labels of 1 to 63 octets, 253 in all; RFC 2782: _service._proto before the domain.
-std::string wrong_with_name(const std::string& name) {
-  if (name.empty()) return "is missing";
+// What is wrong with an SRV name; empty: it is valid. RFC 1035, section 3.1: labels of 1 to 63 octets, 253 in
+// all. RFC 2782: _service._proto before the domain.
+std::string srv_name_error(const std::string& name) {
+  if (name.empty()) return "is not set";
   if (name.size() > 253) return "is longer than 253 characters";
   std::vector<std::string> labels(1);
   for (const char c : name) {
     if (c == '.') {
       labels.emplace_back();
     } else if (c <= ' ' || c >= 127 || c == '\\') {
-      return "has a character that is not allowed";
+      return "has a character that is not allowed in a domain name";
     } else {
       labels.back() += c;
     }
   }
-  if (labels.back().empty()) labels.pop_back();  // a dot at the end says: absolute
+  if (labels.back().empty()) labels.pop_back();  // a trailing dot: the name is absolute
   for (const std::string& label : labels) {
     if (label.empty() || label.size() > 63) return "has a label of 0 or more than 63 characters";
   }
@@ -206,181 +209,197 @@
   return "";
 }
 
-std::string check(const deploy::Membership& membership, const Place& at) {
-  if (membership.sources().empty()) return at.wrong("sources: there is none");
-  if (membership.sources_size() > static_cast<int>(kMostSources))
-    return at.in("sources", kMostSources).wrong("more than " + std::to_string(kMostSources) + " sources");
-  std::set<std::string> names, asked;
-  int lists = 0;
+std::string check(const deploy::Membership& membership, const Location& at) {
+  if (membership.sources().empty()) return at.error("sources: at least one is needed");
+  if (membership.sources_size() > static_cast<int>(kMaxSources))
+    return at.field("sources", kMaxSources).error("more than " + std::to_string(kMaxSources) + " sources");
+  std::set<std::string> names, srv_names;
+  int list_sources = 0;
   for (int i = 0; i < membership.sources_size(); ++i) {
     const deploy::Source& source = membership.sources(i);
-    const Place here = at.in("sources", i);
-    if (source.name().empty()) return here.wrong("a source needs a name");
+    const Location here = at.field("sources", i);
+    if (source.name().empty()) return here.error("a source needs a name");
     if (!names.insert(source.name()).second)
-      return here.in("name").wrong("a source of this name stands before");
+      return here.field("name").error("duplicate source name: " + source.name());
     if (source.has_list()) {
-      if (++lists > 1) return here.in("list").wrong("the platform's list stands before");
+      if (++list_sources > 1)
+        return here.field("list").error("the platform's list stands before: only one source may be the list");
     } else if (source.has_dns_srv()) {
-      const std::string wrong = wrong_with_name(source.dns_srv().name());
-      if (!wrong.empty()) return here.in("dns_srv").in("name").wrong(wrong);
-      if (!asked.insert(source.dns_srv().name()).second)
-        return here.in("dns_srv").in("name").wrong("another source asks for the same name");
+      const std::string problem = srv_name_error(source.dns_srv().name());
+      if (!problem.empty()) return here.field("dns_srv").field("name").error(problem);
+      if (!srv_names.insert(source.dns_srv().name()).second)
+        return here.field("dns_srv").field("name").error("another source has the same SRV name");
     } else {
-      return here.wrong("a source is either list or dns_srv");
+      return here.error("a source needs either list or dns_srv");
     }
   }
-  const deploy::Resolver& r = membership.resolver();
-  const Place resolver = at.in("resolver");
-  if (!asked.empty() && r.servers().empty())
-    return resolver.wrong("servers: a dns_srv source needs at least one");
-  if (r.servers_size() > static_cast<int>(kMostServers))
-    return resolver.in("servers", kMostServers)
-        .wrong("more than " + std::to_string(kMostServers) + " servers");
-  for (int i = 0; i < r.servers_size(); ++i) {
-    if (!is_host_port(r.servers(i))) return resolver.in("servers", i).wrong("not of the form ADDRESS:PORT");
+  const deploy::Resolver& settings = membership.resolver();
+  const Location resolver = at.field("resolver");
+  if (!srv_names.empty() && settings.servers().empty())
+    return resolver.error("servers: a dns_srv source needs at least one");
+  if (settings.servers_size() > static_cast<int>(kMaxServers))
+    return resolver.field("servers", kMaxServers)
+        .error("more than " + std::to_string(kMaxServers) + " servers");
+  for (int i = 0; i < settings.servers_size(); ++i) {
+    if (!is_host_port(settings.servers(i)))
+      return resolver.field("servers", i).error("not of the form ADDRESS:PORT");
   }
-  std::string error = numbers(r, resolver,
-                              {{"timeout_s", 0.01, 30},
-                               {"tries", 1, 16},
-                               {"outstanding", 1, 256},
-                               {"message_bytes", 512, 65535},
-                               {"records", 1, 20000},
-                               {"cname_chain", 0, 32},
-                               {"least_ttl_s", 0.05, 3600},
-                               {"most_ttl_s", 0.05, 604800},
-                               {"negative_ttl_s", 0.05, 10800},
-                               {"stale_s", 0, 604800},
-                               {"cache_entries", 16, 200000}});
+  std::string error = check_ranges(settings, resolver,
+                                   {{"timeout_s", 0.01, 30},
+                                    {"tries", 1, 16},
+                                    {"outstanding", 1, 256},
+                                    {"message_bytes", 512, 65535},
+                                    {"records", 1, 20000},
+                                    {"cname_chain", 0, 32},
+                                    {"least_ttl_s", 0.05, 3600},
+                                    {"most_ttl_s", 0.05, 604800},
+                                    {"negative_ttl_s", 0.05, 10800},
+                                    {"stale_s", 0, 604800},
+                                    {"cache_entries", 16, 200000}});
   if (error.empty())
-    error = numbers(membership.rule(), at.in("rule"),
-                    {{"guard_part", 0.01, 1},
-                     {"guard_s", 0, 3600},
-                     {"return_s", 0, 3600},
-                     {"source_stale_s", 1, 604800},
-                     {"spill_below", 0.01, 1},
-                     {"spill_end", 0.01, 1},
-                     {"spill_hold_s", 0, 3600}});
-  if (error.empty()) error = numbers(membership, at, {{"slots", 64, 65536}});
-  if (error.empty() && r.has_least_ttl_s() && r.has_most_ttl_s() && r.least_ttl_s() > r.most_ttl_s())
-    error = resolver.in("least_ttl_s").wrong("more than most_ttl_s");
+    error = check_ranges(membership.rule(), at.field("rule"),
+                         {{"guard_part", 0.01, 1},
+                          {"guard_s", 0, 3600},
+                          {"return_s", 0, 3600},
+                          {"source_stale_s", 1, 604800},
+                          {"spill_below", 0.01, 1},
+                          {"spill_end", 0.01, 1},
+                          {"spill_hold_s", 0, 3600}});
+  if (error.empty()) error = check_ranges(membership, at, {{"slots", 64, 65536}});
+  if (error.empty() && settings.has_least_ttl_s() && settings.has_most_ttl_s() &&
+      settings.least_ttl_s() > settings.most_ttl_s())
+    error = resolver.field("least_ttl_s").error("more than most_ttl_s");
   const deploy::Rule& rule = membership.rule();
   if (error.empty() &&
       (rule.has_spill_below() ? rule.spill_below() : 0.7) > (rule.has_spill_end() ? rule.spill_end() : 0.85))
-    error = at.in("rule").wrong("spill_below is more than spill_end");
+    error = at.field("rule").error("spill_below is more than spill_end");
   return error;
 }
 
-// Budgets whose parts can't sum, or of which a part would be no whole request.
-std::string check(const deploy::Shared& shared, const deploy::Fleet& fleet, const Place& at) {
-  if (shared.routers() < 1 || shared.routers() > 65536) return at.in("routers").wrong("from 1 to 65536");
+// Rejects budgets that cannot be divided into leases, or whose reservation per router is less than one
+// request.
+std::string check(const deploy::Shared& shared, const deploy::Fleet& fleet, const Location& at) {
+  if (shared.routers() < 1 || shared.routers() > 65536)
+    return at.field("routers").error("not from 1 to 65536: " + std::to_string(shared.routers()));
   std::string error =
-      numbers(shared, at, {{"part_s", 0.2, 60}, {"most_per_s", 1, 1e7}, {"most_delay_s", 0.001, 60}});
+      check_ranges(shared, at, {{"part_s", 0.2, 60}, {"most_per_s", 1, 1e7}, {"most_delay_s", 0.001, 60}});
   if (error.empty() && shared.has_hearsay())
-    error = numbers(shared.hearsay(), at.in("hearsay"),
-                    {{"witnesses", 2, 1024}, {"keep_s", 0.5, 60}, {"most_part", 0, 0.9}});
+    error = check_ranges(shared.hearsay(), at.field("hearsay"),
+                         {{"witnesses", 2, 1024}, {"keep_s", 0.5, 60}, {"most_part", 0, 0.9}});
   if (!error.empty()) return error;
   if (shared.budgets_size() > 0 && fleet.voters().empty())
-    return at.in("budgets", 0).wrong("without voters nobody hands out the parts");
-  if (shared.budgets_size() > 256) return at.in("budgets", 256).wrong("more than 256 budgets");
+    return at.field("budgets", 0)
+        .error("without voters nobody hands out the parts: budgets need fleet.voters");
+  if (shared.budgets_size() > 256) return at.field("budgets", 256).error("more than 256 budgets");
   std::set<std::string> names;
   for (int i = 0; i < shared.budgets_size(); ++i) {
-    const deploy::Budget& b = shared.budgets(i);
-    const Place here = at.in("budgets", i);
-    if (b.name().empty() || b.name().size() > 64) return here.wrong("name: from 1 to 64 characters");
-    if (b.team().empty()) return here.wrong("team: there is none");
-    if (!names.insert(b.name()).second) return here.in("name").wrong("a budget of this name stands before");
-    const bool quota = b.has_per_s(), stock = b.has_whole();
-    if (quota == stock) return here.wrong("either per_s and burst, or whole and window_s");
-    error = quota ? numbers(b, here, {{"per_s", 0.001, 1e9}, {"burst", 1, 1e9}, {"aside", 0, 0.9}})
-                  : numbers(b, here, {{"whole", 1, 1e12}, {"window_s", 1, 31 * 86400.0}, {"aside", 0, 0.9}});
+    const deploy::Budget& budget = shared.budgets(i);
+    const Location here = at.field("budgets", i);
+    if (budget.name().empty() || budget.name().size() > 64)
+      return here.error("name: not from 1 to 64 characters");
+    if (budget.team().empty()) return here.error("team: not set");
+    if (!names.insert(budget.name()).second)
+      return here.field("name").error("duplicate budget name: " + budget.name());
+    const bool quota = budget.has_per_s(), stock = budget.has_whole();
+    if (quota == stock) return here.error("either per_s and burst, or whole and window_s");
+    error = quota ? check_ranges(budget, here, {{"per_s", 0.001, 1e9}, {"burst", 1, 1e9}, {"aside", 0, 0.9}})
+                  : check_ranges(budget, here,
+                                 {{"whole", 1, 1e12}, {"window_s", 1, 31 * 86400.0}, {"aside", 0, 0.9}});
     if (!error.empty()) return error;
-    if (quota && !b.has_burst()) return here.wrong("burst: there is none");
-    if (stock && !b.has_window_s()) return here.wrong("window_s: there is none");
-    const double aside = b.has_aside() ? b.aside() : 0.1;
-    const double own = aside * (quota ? b.burst() : b.whole() / 2) / shared.routers();
-    if (aside > 0 && own < 1)
-      return here.wrong("put aside for " + std::to_string(shared.routers()) +
+    if (quota && !budget.has_burst()) return here.error("burst: there is none");
+    if (stock && !budget.has_window_s()) return here.error("window_s: there is none");
+    const double reserved_share = budget.has_aside() ? budget.aside() : 0.1;
+    const double reserved_per_router =
+        reserved_share * (quota ? budget.burst() : budget.whole() / 2) / shared.routers();
+    if (reserved_share > 0 && reserved_per_router < 1)
+      return here.error("put aside for " + std::to_string(shared.routers()) +
                         " routers, each would have less than one: a larger " + (quota ? "burst" : "whole") +
                         ", or aside: 0");
-    if (quota && (1 - aside) * b.burst() < 2) return here.wrong("burst: the bank would have less than two");
+    if (quota && (1 - reserved_share) * budget.burst() < 2)
+      return here.error(
+          "burst: the bank would have less than two after reservations: a larger burst, or a smaller aside");
   }
   return "";
 }
 
-std::string check(const deploy::Fleet& fleet, const Place& at) {
-  if (fleet.name().empty()) return at.wrong("name: there is none");
-  if (!is_host_port(fleet.listen())) return at.in("listen").wrong("not of the form ADDRESS:PORT");
+std::string check(const deploy::Fleet& fleet, const Location& at) {
+  if (fleet.name().empty()) return at.error("name: not set");
+  if (!is_host_port(fleet.listen())) return at.field("listen").error("not of the form ADDRESS:PORT");
   if (!fleet.advertise().empty() && !is_host_port(fleet.advertise()))
-    return at.in("advertise").wrong("not of the form ADDRESS:PORT");
+    return at.field("advertise").error("not of the form ADDRESS:PORT");
   for (const auto& [field, text] : {std::pair{"name", fleet.name()}, std::pair{"site", fleet.site()}}) {
-    if (text.size() > 64) return at.in(field).wrong("longer than 64 characters");
+    if (text.size() > 64)
+      return at.field(field).error("has " + std::to_string(text.size()) + " characters, more than 64");
   }
   for (int i = 0; i < fleet.seeds_size(); ++i) {
-    if (!is_host_port(fleet.seeds(i))) return at.in("seeds", i).wrong("not of the form ADDRESS:PORT");
+    if (!is_host_port(fleet.seeds(i))) return at.field("seeds", i).error("not of the form ADDRESS:PORT");
   }
   if (fleet.voters_size() % 2 == 0 && fleet.voters_size() > 0)
-    return at.in("voters", fleet.voters_size() - 1)
-        .wrong("an even number of voters stands no more failures than one fewer");
-  if (fleet.voters_size() > 5) return at.in("voters", 5).wrong("more than 5 voters");
-  std::set<std::string> routers, places;
+    return at.field("voters", fleet.voters_size() - 1)
+        .error(std::to_string(fleet.voters_size()) +
+               " voters: an even number tolerates no more failures than one voter fewer");
+  if (fleet.voters_size() > 5) return at.field("voters", 5).error("more than 5 voters");
+  std::set<std::string> routers, addresses;
   std::set<std::uint64_t> ids;
   for (int i = 0; i < fleet.voters_size(); ++i) {
-    const deploy::FleetVoter& v = fleet.voters(i);
-    const Place here = at.in("voters", i);
-    if (v.router().empty()) return here.wrong("router: there is none");
-    if (v.id() == 0) return here.wrong("id: from 1");
-    if (!is_host_port(v.at())) return here.in("at").wrong("not of the form ADDRESS:PORT");
-    if (!routers.insert(v.router()).second)
-      return here.in("router").wrong("a voter of this router stands before");
-    if (!ids.insert(v.id()).second) return here.in("id").wrong("a voter of this id stands before");
-    if (!places.insert(v.at()).second) return here.in("at").wrong("a voter at this address stands before");
+    const deploy::FleetVoter& voter = fleet.voters(i);
+    const Location here = at.field("voters", i);
+    if (voter.router().empty()) return here.error("router: not set");
+    if (voter.id() == 0) return here.error("id: not set, or 0");
+    if (!is_host_port(voter.at())) return here.field("at").error("not of the form ADDRESS:PORT");
+    if (!routers.insert(voter.router()).second)
+      return here.field("router").error("another voter has the same router: " + voter.router());
+    if (!ids.insert(voter.id()).second)
+      return here.field("id").error("another voter has the same id: " + std::to_string(voter.id()));
+    if (!addresses.insert(voter.at()).second)
+      return here.field("at").error("another voter has the same address: " + voter.at());
   }
   std::set<std::string> sites;
   for (int i = 0; i < fleet.list_readers_size(); ++i) {
-    if (fleet.list_readers(i).empty()) return at.in("list_readers", i).wrong("a site needs a name");
+    if (fleet.list_readers(i).empty()) return at.field("list_readers", i).error("a site needs a name");
     if (!sites.insert(fleet.list_readers(i)).second)
-      return at.in("list_readers", i).wrong("this site stands before");
+      return at.field("list_readers", i).error("duplicate site: " + fleet.list_readers(i));
   }
   if (!sites.empty() && fleet.voters().empty())
-    return at.wrong("list_readers: without voters no job has an owner");
-  std::string error = numbers(fleet, at,
-                              {{"period_s", 0.02, 60},
-                               {"probe_timeout_s", 0.005, 30},
-                               {"lease_s", 0.2, 60},
-                               {"election_s", 0.1, 60},
-                               {"list_silence_s", 0.2, 600},
-                               {"most_routers", 2, 65536}});
-  if (error.empty() && fleet.has_shared()) error = check(fleet.shared(), fleet, at.in("shared"));
+    return at.error("list_readers: needs voters, which grant the leases on jobs");
+  std::string error = check_ranges(fleet, at,
+                                   {{"period_s", 0.02, 60},
+                                    {"probe_timeout_s", 0.005, 30},
+                                    {"lease_s", 0.2, 60},
+                                    {"election_s", 0.1, 60},
+                                    {"list_silence_s", 0.2, 600},
+                                    {"most_routers", 2, 65536}});
+  if (error.empty() && fleet.has_shared()) error = check(fleet.shared(), fleet, at.field("shared"));
   const double period = fleet.has_period_s() ? fleet.period_s() : 1.0,
                timeout = fleet.has_probe_timeout_s() ? fleet.probe_timeout_s() : 0.2;
   if (error.empty() && timeout > period / 2)
-    error = at.wrong("probe_timeout_s: more than half of period_s leaves others no time to probe");
+    error = at.error("probe_timeout_s: more than half of period_s leaves no time for indirect probes");
   return error;
 }
 
 }  // namespace
 
 std::string parse(const std::string& text, const std::string& name, deploy::OperatorFile& out) {
-  if (text.size() > kLargestFile) return name + ": larger than 4 MiB";
-  Tree tree;
-  FirstError first;
+  if (text.size() > kMaxFileBytes) return name + ": larger than 4 MiB";
+  ParseTree tree;
+  FirstError first_error;
   pb::TextFormat::Parser parser;
-  parser.RecordErrorsTo(&first);
+  parser.RecordErrorsTo(&first_error);
   parser.WriteLocationsTo(&tree);
   if (!parser.ParseFromString(text, &out)) {
-    const std::string path = open_path(deploy::OperatorFile::descriptor(), tree);
-    return name + ":" + first.at + ": " + (path.empty() ? "" : path + ": ") + first.text;
+    const std::string path = path_of_unfinished_field(deploy::OperatorFile::descriptor(), tree);
+    return name + ":" + first_error.position + ": " + (path.empty() ? "" : path + ": ") + first_error.message;
   }
-  const Place root(name, deploy::OperatorFile::descriptor(), &tree);
+  const Location root(name, deploy::OperatorFile::descriptor(), &tree);
   std::string error;
-  if (out.has_kserve()) error = check(out.kserve(), root.in("kserve"));
-  if (error.empty() && out.has_membership()) error = check(out.membership(), root.in("membership"));
-  if (error.empty() && out.has_fleet()) error = check(out.fleet(), root.in("fleet"));
+  if (out.has_kserve()) error = check(out.kserve(), root.field("kserve"));
+  if (error.empty() && out.has_membership()) error = check(out.membership(), root.field("membership"));
+  if (error.empty() && out.has_fleet()) error = check(out.fleet(), root.field("fleet"));
   if (error.empty() && out.has_membership() && !out.fleet().list_readers().empty())
-    error = root.in("fleet")
-                .in("list_readers", 0)
-                .wrong("with sources of one's own, each router reads the list itself");
-  if (error.empty()) error = numbers(out.calls(), root.in("calls"), {{"cancel_hold_s", 0, 60}});
+    error = root.field("fleet")
+                .field("list_readers", 0)
+                .error("not allowed with membership: each router then reads the list itself");
+  if (error.empty()) error = check_ranges(out.calls(), root.field("calls"), {{"cancel_hold_s", 0, 60}});
   return error;
 }
 
@@ -401,7 +420,7 @@
     fixed.mutable_kserve()->clear_errors_in_band();
     fixed.mutable_kserve()->clear_fill_version();
     fixed.mutable_kserve()->clear_stream_requests();
-    // Certificates are read anew; whether there are any does not change, nor whether clients need one.
+    // Certificates can be reloaded. Whether TLS is on and whether clients need a certificate cannot change.
     if (fixed.kserve().has_tls()) {
       deploy::Tls kept;
       if (!fixed.kserve().tls().client_ca().empty()) kept.set_client_ca("set");
@@ -414,7 +433,7 @@
     }
   }
   if (fixed.has_membership()) {
-    // Sources, resolver and rule change live; whether there is a membership at all, and its slots, do not.
+    // Sources, resolver and rule can be reloaded. Whether membership is set, and its slots, cannot change.
     fixed.mutable_membership()->clear_sources();
     fixed.mutable_membership()->clear_resolver();
     fixed.mutable_membership()->clear_rule();
@@ -430,12 +449,13 @@
     out += "\n";
     const auto& tls = file.kserve().tls();
     if (file.kserve().has_tls())
-      out += "kserve: TLS with " + tls.certificate() +
-             (tls.client_ca().empty() ? "" : ", clients by " + tls.client_ca()) + "\n";
+      out += "kserve: TLS with certificate " + tls.certificate() +
+             (tls.client_ca().empty() ? "" : ", clients authenticated by " + tls.client_ca()) + "\n";
     for (const auto& bound : tls.bound())
-      out += "kserve: " + bound.san() + " is tenant " + bound.tenant() + "\n";
+      out +=
+          "kserve: clients with the certificate name " + bound.san() + " are tenant " + bound.tenant() + "\n";
     if (file.kserve().has_replica_tls())
-      out += "kserve: replicas by " + file.kserve().replica_tls().ca() + "\n";
+      out += "kserve: TLS to replicas, authenticated by " + file.kserve().replica_tls().ca() + "\n";
   } else {
     out += "kserve: off\n";
   }
@@ -445,22 +465,24 @@
            (fleet.site().empty() ? "" : ", site " + fleet.site()) + ", seeds:";
     for (const std::string& seed : fleet.seeds()) out += " " + seed;
     out += "\n";
-    for (const auto& v : fleet.voters())
-      out += "fleet: voter " + std::to_string(v.id()) + " is " + v.router() + " at " + v.at() + "\n";
+    for (const auto& voter : fleet.voters())
+      out +=
+          "fleet: voter " + std::to_string(voter.id()) + " is " + voter.router() + " at " + voter.at() + "\n";
     for (const std::string& site : fleet.list_readers())
-      out += "fleet: one router of " + site + " reads the list for all of it\n";
-    for (const auto& b : fleet.shared().budgets()) {
-      const double aside = b.has_aside() ? b.aside() : 0.1, all = b.has_per_s() ? b.per_s() : b.whole();
-      out += "fleet: " + b.team() + " has " + number(all) +
-             (b.unit() == deploy::Budget::TOKENS ? " tokens" : " requests") +
-             (b.has_per_s() ? " a second, " + number(b.burst()) + " at once"
-                            : " in each " + number(b.window_s()) + " s") +
-             " over the whole fleet; " + number(all * aside / fleet.shared().routers()) +
-             " of it at a router that hears nothing; beyond it: " +
-             (b.beyond() == deploy::Budget::LAST ? "last" : "refused") + "\n";
+      out += "fleet: one router of " + site + " reads the replica list for the whole site\n";
+    for (const auto& budget : fleet.shared().budgets()) {
+      const double reserved_share = budget.has_aside() ? budget.aside() : 0.1,
+                   amount = budget.has_per_s() ? budget.per_s() : budget.whole();
+      out += "fleet: " + budget.team() + " has " + format_number(amount) +
+             (budget.unit() == deploy::Budget::TOKENS ? " tokens" : " requests") +
+             (budget.has_per_s() ? " per second, " + format_number(budget.burst()) + " in a burst"
+                                 : " in each " + format_number(budget.window_s()) + " s") +
+             " for the whole fleet; " + format_number(amount * reserved_share / fleet.shared().routers()) +
+             " of it reserved for each router; beyond the budget: " +
+             (budget.beyond() == deploy::Budget::LAST ? "shed first" : "rejected") + "\n";
     }
-    if (fleet.shared().counts()) out += "fleet: counts are shared\n";
-    if (fleet.shared().has_hearsay()) out += "fleet: what routers see of replicas is shared\n";
+    if (fleet.shared().counts()) out += "fleet: request counts are shared\n";
+    if (fleet.shared().has_hearsay()) out += "fleet: health of replicas is shared\n";
   }
   if (!file.has_membership()) return out + "membership: the platform's list alone\n";
   for (const auto& source : file.membership().sources()) {
@@ -474,7 +496,7 @@
     }
   }
   for (const auto& server : file.membership().resolver().servers())
-    out += "membership: asks the DNS server " + server + "\n";
+    out += "membership: queries the DNS server " + server + "\n";
   return out;
 }
 
--- a/src/operator/operator_file.h
+++ b/src/operator/operator_file.h
@@ -1,4 +1,4 @@
-// The operator's file: protobuf text format by proto/operator.proto, checked here. Opens no socket.
+// Parses and validates the operator's file: protobuf text format, as defined in proto/operator.proto.
 #pragma once
 
 #include <string>
@@ -7,14 +7,14 @@
 
 namespace flintglade::operator_file {
 
-// Each gives an empty string, or one plain line: FILE:LINE:COLUMN: FIELD.PATH: what is wrong.
+// Return an empty string, or an error of one line: FILE:LINE:COLUMN: FIELD.PATH: what is wrong.
 std::string parse(const std::string& text, const std::string& name, deploy::OperatorFile& out);
 std::string load(const std::string& path, deploy::OperatorFile& out);
 
-// What of the file takes effect at a start only, as text.
+// The settings that take effect only at a start, serialized. A reload must not change them.
 std::string fixed_part(const deploy::OperatorFile& file);
 
-// What the file would do, a line each, for 'flintglade check'.
+// A summary of the settings, one per line, for 'flintglade check'.
 std::string describe(const deploy::OperatorFile& file);
 
 }  // namespace flintglade::operator_file
