--- a/src/dns/client.cpp
+++ b/src/dns/client.cpp
@@ -84,7 +84,7 @@
     if (owner_ == nullptr) return;
     tcp_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](error_code ec, std::size_t size) {
       if (self->owner_ == nullptr) return;
-      if (ec) return self->fail("TCP connection closed before the whole response: " + ec.message());
+      if (ec) return self->fail("TCP connection ended before the response was complete: " + ec.message());
       self->owner_->handle_event([&](core::Micros now) {
         self->owner_->resolver_.stream(now, self->id_, {self->buffer_.data(), size});
       });
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -101,6 +101,8 @@
   }
 }
 
+// Marks an entry and those it leads to. A missing entry is created, and its query is due now. depth: number
+// of CNAME records followed so far.
 void Resolver::mark_used(Micros now, const Key& key, unsigned depth) {
   if (depth > settings_.cname_chain) return;
   auto it = cache_.find(key);
--- a/src/dns/resolver.h
+++ b/src/dns/resolver.h
@@ -134,7 +134,7 @@
   };
   struct Query {
     Key key;
-    std::vector<std::size_t> tried_servers;
+    std::vector<std::size_t> tried_servers;  // indices into servers_, as is server
     std::size_t server = 0;
     std::uint16_t id = 0;
     bool tcp = false, edns = true;
@@ -187,8 +187,9 @@
   std::set<std::pair<Micros, QueryId>> deadlines_;
   QueryId last_id_ = 0;
   std::uint64_t sweep_generation_ = 0;
-  bool sweep_needed_ = false;  // the set of entries in use may have changed
-  Micros notify_at_ = core::kNever, next_notify_at_ = 0;
+  bool sweep_needed_ = false;        // the set of entries in use may have changed
+  Micros notify_at_ = core::kNever;  // when to notify the listener
+  Micros next_notify_at_ = 0;        // the time for a notification that is scheduled now
   std::vector<std::pair<std::string, std::string>> unreported_failures_;  // names and reasons
   ResolverCounters counters_;
 };
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -420,20 +420,22 @@
     fixed.mutable_kserve()->clear_errors_in_band();
     fixed.mutable_kserve()->clear_fill_version();
     fixed.mutable_kserve()->clear_stream_requests();
-    // Certificates can be reloaded. Whether TLS is on and whether clients need a certificate cannot change.
+    // Certificates are reloaded. Whether TLS is on, and whether clients need a certificate, is fixed at the
+    // start.
     if (fixed.kserve().has_tls()) {
-      deploy::Tls kept;
-      if (!fixed.kserve().tls().client_ca().empty()) kept.set_client_ca("set");
-      *fixed.mutable_kserve()->mutable_tls() = kept;
+      deploy::Tls fixed_tls;
+      if (!fixed.kserve().tls().client_ca().empty()) fixed_tls.set_client_ca("set");
+      *fixed.mutable_kserve()->mutable_tls() = fixed_tls;
     }
     if (fixed.kserve().has_replica_tls()) {
-      deploy::ReplicaTls kept;
-      kept.set_server_name(fixed.kserve().replica_tls().server_name());
-      *fixed.mutable_kserve()->mutable_replica_tls() = kept;
+      deploy::ReplicaTls fixed_tls;
+      fixed_tls.set_server_name(fixed.kserve().replica_tls().server_name());
+      *fixed.mutable_kserve()->mutable_replica_tls() = fixed_tls;
     }
   }
   if (fixed.has_membership()) {
-    // Sources, resolver and rule can be reloaded. Whether membership is set, and its slots, cannot change.
+    // Sources, resolver and rule are reloaded. Whether membership is set, and its slots, is fixed at the
+    // start.
     fixed.mutable_membership()->clear_sources();
     fixed.mutable_membership()->clear_resolver();
     fixed.mutable_membership()->clear_rule();
--- a/src/operator/operator_file.h
+++ b/src/operator/operator_file.h
@@ -11,7 +11,8 @@
 std::string parse(const std::string& text, const std::string& name, deploy::OperatorFile& out);
 std::string load(const std::string& path, deploy::OperatorFile& out);
 
-// The settings that take effect only at a start, serialized. A reload must not change them.
+// The settings that take effect only at a start, serialized, so that a reload can report whether they
+// changed.
 std::string fixed_part(const deploy::OperatorFile& file);
 
 // A summary of the settings, one per line, for 'flintglade check'.
