--- a/src/http/connection_eviction.h
+++ b/src/http/connection_eviction.h
@@ -1,11 +1,15 @@
-// Whom of many clients to let go when their connections fill the room that there is. Pure: no clock, no I/O.
+// Policy for connection eviction: which client connections to close when their number approaches the limit.
+// Pure: no clock, no I/O.
 //
-// Clients may come by the thousands and never finish a request, while each true request comes on a new
-// connection. A connection costs a descriptor whatever it says, so room is made for those that come:
-//  - beyond half of the room, answers end their connection, and those that are quiet for long go;
-//  - beyond seven eighths, those go of which least is lost, each after a time in which a true client would
-//    have gone on: first who has had an answer, then who has said nothing, then who stopped in its request;
-//  - who has a request open, or is being written to, never goes.
+// Thousands of clients may connect and never complete a request, while each genuine request arrives on a new
+// connection. Every connection costs a descriptor whether or not it sends anything, so connections are closed
+// to accept new ones:
+//  - Above half of the capacity, connections are closed after their next response, and those that have been
+//    idle for long are evicted.
+//  - Above seven eighths, the least valuable connections are evicted, each after a grace period in which a
+//    genuine client would have continued: first those that have received a response, then those that have
+//    sent nothing, then those that stalled in the middle of a request.
+//  - A connection with an open request, or with a response still being written, is never evicted.
 #pragma once
 
 #include <cstddef>
@@ -14,39 +18,43 @@
 
 namespace flintglade::http {
 
-struct Client {
-  bool busy = false;           // a request is open, or an answer is not written yet
-  bool asked = false;          // a whole request has come on it
-  bool half = false;           // a part of a request has come, and not the rest
-  core::Micros connected = 0;  // when the connection was made
-  core::Micros moved = 0;      // when it last brought a byte, or took one
+struct ConnectionState {
+  bool busy = false;               // a request is open, or a response is not fully written yet
+  bool received_request = false;   // a complete request has been received on it
+  bool partial_request = false;    // a request has been received in part
+  core::Micros connected_at = 0;   // when the connection was established
+  core::Micros last_activity = 0;  // when a byte was last received or sent
 };
 
 class ConnectionEviction {
  public:
-  // Who goes first, after how long. An answer has been read by then; a client that still uses the connection
-  // sends its request once more on another.
-  static constexpr core::Micros kAnswered = 100 * core::kMilli;
-  // A client writes as soon as it is connected, and one that takes 2 s for its request does so in pieces:
-  // within a round trip, or the wait for one lost segment (200 ms at the least).
-  static constexpr core::Micros kStopped = 250 * core::kMilli;
-
-  explicit ConnectionEviction(std::size_t room) : room_(room) {}
-  bool filling(std::size_t connections) const { return connections > room_ / 2; }
-  bool pressing(std::size_t connections) const { return connections > room_ - room_ / 8; }
-  std::size_t room() const { return room_; }
-
-  // Who may go, and who sooner: lower goes first. kNobody: it may not go yet.
-  static constexpr int kNobody = 3;
-  static int order(const Client& c, core::Micros now) {
-    if (c.busy) return kNobody;
-    if (c.half) return now - c.moved >= kStopped ? 2 : kNobody;
-    if (c.asked) return now - c.moved >= kAnswered ? 0 : kNobody;
-    return now - c.connected >= kStopped ? 1 : kNobody;
+  // How long a connection stays open after a response. The client has read the response by then; if it still
+  // uses the connection, it sends its next request again on another one.
+  static constexpr core::Micros kAnsweredGrace = 100 * core::kMilli;
+  // How long a connection without a complete request may be silent. A client writes as soon as it has
+  // established the connection, and one that takes 2 s to send its request sends it in pieces: the gap is a
+  // round trip, or the retransmission timeout of one lost segment (at least 200 ms).
+  static constexpr core::Micros kStalledGrace = 250 * core::kMilli;
+
+  explicit ConnectionEviction(std::size_t capacity) : capacity_(capacity) {}
+  bool above_soft_limit(std::size_t connections) const { return connections > capacity_ / 2; }
+  bool above_hard_limit(std::size_t connections) const { return connections > capacity_ - capacity_ / 8; }
+  std::size_t capacity() const { return capacity_; }
+
+  // Position in the order of eviction: connections of a lower rank are evicted first. kNotEvictable:
+  // it must not be evicted yet.
+  static constexpr int kNotEvictable = 3;
+  static int eviction_rank(const ConnectionState& connection, core::Micros now) {
+    if (connection.busy) return kNotEvictable;
+    if (connection.partial_request)
+      return now - connection.last_activity >= kStalledGrace ? 2 : kNotEvictable;
+    if (connection.received_request)
+      return now - connection.last_activity >= kAnsweredGrace ? 0 : kNotEvictable;
+    return now - connection.connected_at >= kStalledGrace ? 1 : kNotEvictable;
   }
 
  private:
-  std::size_t room_;
+  std::size_t capacity_;
 };
 
 }  // namespace flintglade::http
--- a/src/http/idle_timer.h
+++ b/src/http/idle_timer.h
@@ -1,4 +1,4 @@
-// An alarm that rings when something falls due, and not before: where nothing is due, nobody wakes.
+// A one-shot timer that is armed only while something is due, so that an idle process does not wake up.
 #pragma once
 
 #include <algorithm>
@@ -13,30 +13,30 @@
 
 class IdleTimer {
  public:
-  // Looks at all connections are no closer than this, but for the first.
-  static constexpr core::Micros kApart = 100 * core::kMilli;
-
-  // ring: looks at what is due, and says by() for what comes next.
-  IdleTimer(boost::asio::io_context& io, core::Clock& clock, std::function<void()> ring)
-      : clock_(clock), timer_(io), ring_(std::move(ring)) {}
-
-  // Rings at this time at the latest. Micros of the monotonic clock; kNever changes nothing.
-  void by(core::Micros at) {
-    if (at >= at_) return;
-    at_ = at;
-    timer_.expires_after(std::chrono::microseconds(std::max<core::Micros>(0, at - clock_.now())));
+  // Minimum interval between two sweeps over all connections; the first one is not delayed.
+  static constexpr core::Micros kMinSweepInterval = 100 * core::kMilli;
+
+  // on_due: handles what is due, and calls fire_by() for the next deadline.
+  IdleTimer(boost::asio::io_context& io, core::Clock& clock, std::function<void()> on_due)
+      : clock_(clock), timer_(io), on_due_(std::move(on_due)) {}
+
+  // Calls on_due no later than this time of the monotonic clock; kNever has no effect.
+  void fire_by(core::Micros deadline) {
+    if (deadline >= due_at_) return;
+    due_at_ = deadline;
+    timer_.expires_after(std::chrono::microseconds(std::max<core::Micros>(0, deadline - clock_.now())));
     timer_.async_wait([this](boost::system::error_code ec) {
-      if (ec) return;  // set anew, or at an end
-      at_ = core::kNever;
-      ring_();
+      if (ec) return;  // rearmed, or cancelled
+      due_at_ = core::kNever;
+      on_due_();
     });
   }
 
  private:
   core::Clock& clock_;
   boost::asio::steady_timer timer_;
-  std::function<void()> ring_;
-  core::Micros at_ = core::kNever;
+  std::function<void()> on_due_;
+  core::Micros due_at_ = core::kNever;
 };
 
 }  // namespace flintglade::http
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-// A connection that ended in the queue is told, and accepting goes on. Otherwise Asio waits for the next one
-// to come, and those that stand in the queue already wait with it.
-void tell_aborted(tcp::acceptor& acceptor) {
+// Makes accept report a connection that was aborted in the queue as an error. Without the option, Asio waits
+// for the next incoming connection instead, and connections that are already queued wait with it.
+void report_aborted_connections(tcp::acceptor& acceptor) {
   error_code ignored;
   acceptor.set_option(boost::asio::socket_base::enable_connection_aborted(true), ignored);
 }
 
 }  // namespace
 
-std::string listen(tcp::acceptor& acceptor, const config::HostPort& at) {
+std::string listen(tcp::acceptor& acceptor, const config::HostPort& address) {
   error_code ec;
-  const auto ip = boost::asio::ip::make_address(at.host, ec);
-  const tcp::endpoint endpoint(ip, at.port);
+  const auto ip_address = boost::asio::ip::make_address(address.host, ec);
+  const tcp::endpoint endpoint(ip_address, address.port);
   if (!ec) acceptor.open(endpoint.protocol(), ec);
   if (!ec) acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
   if (!ec) acceptor.bind(endpoint, ec);
   if (!ec) acceptor.listen(tcp::acceptor::max_listen_connections, ec);
-  tell_aborted(acceptor);
-  if (ec) return "cannot listen on " + config::host_port(at.host, at.port) + ": " + ec.message();
+  report_aborted_connections(acceptor);
+  if (ec) return "cannot listen on " + config::host_port(address.host, address.port) + ": " + ec.message();
   return "";
 }
 
@@ -40,9 +40,9 @@
   return domain == AF_INET6 ? tcp::v6() : tcp::v4();
 }
 
-void leave(tcp::socket& socket) {
+void release_and_close(tcp::socket& socket) {
   error_code ec;
-  const int descriptor = socket.release(ec);  // takes it out of the epoll set
+  const int descriptor = socket.release(ec);  // removes it from the epoll set
   if (!ec) ::close(descriptor);
 }
 
@@ -55,12 +55,12 @@
   int listening = 0, domain = 0, type = 0;
   if (!option(SO_ACCEPTCONN, listening) || !option(SO_DOMAIN, domain) || !option(SO_TYPE, type) ||
       listening == 0 || type != SOCK_STREAM || (domain != AF_INET && domain != AF_INET6))
-    return name + " is no listening TCP socket";
+    return name + " is not a listening TCP socket";
   ::fcntl(descriptor, F_SETFD, FD_CLOEXEC);
   error_code ec;
   acceptor.assign(protocol_of(descriptor), descriptor, ec);
-  tell_aborted(acceptor);
-  return ec ? name + " cannot be used: " + ec.message() : "";
+  report_aborted_connections(acceptor);
+  return ec ? name + " cannot be used for accepting connections: " + ec.message() : "";
 }
 
 }  // namespace flintglade::http
--- a/src/http/replica_client.h
+++ b/src/http/replica_client.h
@@ -1,5 +1,5 @@
-// The model replicas behind HTTP/1.1, and the connections to them: one call at a time on each, kept for the
-// next one while they are fresh.
+// Replica client for HTTP/1.1. Each connection carries one attempt at a time and is reused for later ones
+// until it has been idle for too long.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -19,7 +19,7 @@
 struct ReplicaClientSettings {
   core::Micros dial_timeout = 150 * core::kMilli;
   core::Micros conn_idle = 5 * core::kSecond;  // the replica closes a connection idle for this long
-  std::function<std::size_t()> room;           // how many connections it may hold at present
+  std::function<std::size_t()> room;           // the current limit on open connections
 };
 
 class HttpReplicaClient final : public core::ReplicaClient {
@@ -29,45 +29,45 @@
   ~HttpReplicaClient() override;
 
   void update_endpoint(const core::Endpoint& endpoint, core::Micros no_new_after) override;
-  void start_attempt(core::AttemptId id, core::ReplicaId replica, std::shared_ptr<const core::Request> rpc,
-                     core::Micros patience) override;
+  void start_attempt(core::AttemptId id, core::ReplicaId replica,
+                     std::shared_ptr<const core::Request> request, core::Micros first_event_timeout) override;
   void cancel_attempt(core::AttemptId id) override;
   void pause_attempt(core::AttemptId id, bool paused) override;
   void reload(core::Micros dial_timeout, core::Micros conn_idle) {
     settings_.dial_timeout = dial_timeout;
     settings_.conn_idle = conn_idle;
-    sweeper_.by(clock_.now());
+    sweep_timer_.fire_by(clock_.now());
   }
-  // Gives a descriptor back: closes the connection that has been idle longest. False: none is idle.
+  // Frees a descriptor by closing the connection that has been idle longest. Returns false if none is idle.
   bool shed_idle();
   std::size_t connections() const { return connections_; }
-  // An answer in its middle that moves to or from another process of this router, with its connection.
-  // Gives the descriptor, which stays here until migrated_out(), and writes what else there is to know; -1:
-  // not at this moment.
-  int describe(core::AttemptId id, hot_restart::Stream& to) const;
+  // Stream migration: moves the connection of an unfinished response to or from another process of this
+  // router. export_stream() returns the descriptor, which stays open here until migrated_out(), and sets the
+  // replica's fields of `stream`; it returns -1 if the response cannot move at this moment.
+  int export_stream(core::AttemptId id, hot_restart::Stream& stream) const;
   void migrated_out(core::AttemptId id);
   void migrate_in(core::AttemptId id, core::ReplicaId replica, int descriptor,
-                  const hot_restart::Stream& from);
+                  const hot_restart::Stream& stream);
 
  private:
   class Connection;
   struct Subchannel {
     std::string address;
     core::Micros no_new_after = core::kNever;
-    std::deque<std::shared_ptr<Connection>> idle;  // the freshest last
+    std::deque<std::shared_ptr<Connection>> idle;  // the most recently used last
   };
   static std::uint64_t key(core::AttemptId id) { return id.request << 8 | (id.attempt & 0xff); }
-  core::Micros keep_for() const;
+  core::Micros idle_lifetime() const;
   void sweep();
-  void drop_idle(Subchannel& sub);
+  void close_idle(Subchannel& subchannel);
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
   ReplicaClientSettings settings_;
-  IdleTimer sweeper_;
-  std::unordered_map<core::ReplicaId, Subchannel> subs_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> calls_;
+  IdleTimer sweep_timer_;
+  std::unordered_map<core::ReplicaId, Subchannel> subchannels_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> attempts_;
   std::size_t connections_ = 0;
 };
 
--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -11,10 +11,10 @@
 namespace beast_http = boost::beast::http;
 using beast_http::field;
 
-std::string_view view(boost::beast::string_view s) { return {s.data(), s.size()}; }
+std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// Headers that end at this router: of the connection (RFC 9110, 7.6.1), of the body's framing, and those that
-// are said to the router or that it says itself.
+// Headers that are not forwarded to the replica: those of the connection (RFC 9110, 7.6.1), those of the
+// body's framing, those addressed to the router, and those that the router sets itself.
 constexpr std::array kHopByHop = {field::connection,
                                   field::keep_alive,
                                   field::proxy_authenticate,
@@ -27,24 +27,26 @@
                                   field::content_length,
                                   field::expect,
                                   field::host};
-constexpr std::array<std::string_view, 8> kForTheRouter = {"X-Trace-Id",   "X-Qos",           "X-Customer",
-                                                           "X-Object",     "X-Expires-In-Ms", "X-Props",
-                                                           "X-Second-Try", "X-Size-Hint"};
+constexpr std::array<std::string_view, 8> kRouterHeaders = {"X-Trace-Id",   "X-Qos",           "X-Customer",
+                                                            "X-Object",     "X-Expires-In-Ms", "X-Props",
+                                                            "X-Second-Try", "X-Size-Hint"};
 
-bool passes_on(const Request::value_type& header, beast_http::token_list& of_connection) {
+bool is_end_to_end(const Request::value_type& header, beast_http::token_list& connection_options) {
   if (std::find(kHopByHop.begin(), kHopByHop.end(), header.name()) != kHopByHop.end()) return false;
   const boost::beast::string_view name = header.name_string();
-  const auto is_it = [name](std::string_view other) {
+  const auto matches = [name](std::string_view other) {
     return boost::beast::iequals(name, boost::beast::string_view(other.data(), other.size()));
   };
-  return std::none_of(kForTheRouter.begin(), kForTheRouter.end(), is_it) && !of_connection.exists(name);
+  return std::none_of(kRouterHeaders.begin(), kRouterHeaders.end(), matches) &&
+         !connection_options.exists(name);
 }
 
-// What the client says to the replica, an idempotency key say, goes through a router as it is.
+// Copies the client's end-to-end headers, for example an idempotency key, which the replica receives
+// unchanged.
 void read_metadata(const Request& request, core::Request& out) {
-  beast_http::token_list of_connection(request[field::connection]);
+  beast_http::token_list connection_options(request[field::connection]);
   for (const auto& header : request) {
-    if (passes_on(header, of_connection))
+    if (is_end_to_end(header, connection_options))
       out.metadata.emplace_back(view(header.name_string()), view(header.value()));
   }
 }
@@ -55,7 +57,7 @@
   return text;
 }
 
-// X-Props: name=value pairs, separated by commas; unknown names are skipped.
+// X-Props: comma-separated name=value pairs; unknown names are ignored.
 bool read_props(std::string_view props, config::RequestLabels& out) {
   while (!props.empty()) {
     const std::size_t comma = props.find(',');
@@ -82,16 +84,16 @@
 std::string to_rpc(Request&& request, const config::Labels& labels, core::Request& out) {
   out.trace_id = view(request["X-Trace-Id"]);
   if (out.trace_id.empty()) return "X-Trace-Id is missing";
-  config::RequestLabels said;
-  said.request_class = view(request["X-Qos"]);
-  said.tenant = view(request["X-Customer"]);
-  said.session = view(request["X-Object"]);
-  said.expires_ms = view(request["X-Expires-In-Ms"]);
-  said.again = view(request["X-Second-Try"]);
-  said.work_hint = view(request["X-Size-Hint"]);
-  if (!read_props(view(request["X-Props"]), said)) return "X-Props is malformed";
-  const std::string wrong = config::apply(said, labels, out);
-  if (!wrong.empty()) return wrong;
+  config::RequestLabels request_labels;
+  request_labels.request_class = view(request["X-Qos"]);
+  request_labels.tenant = view(request["X-Customer"]);
+  request_labels.session = view(request["X-Object"]);
+  request_labels.expires_ms = view(request["X-Expires-In-Ms"]);
+  request_labels.again = view(request["X-Second-Try"]);
+  request_labels.work_hint = view(request["X-Size-Hint"]);
+  if (!read_props(view(request["X-Props"]), request_labels)) return "X-Props is malformed";
+  const std::string error = config::apply(request_labels, labels, out);
+  if (!error.empty()) return error;
   read_metadata(request, out);
   out.method = view(request.method_string());
   out.target = view(request.target());
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -1,4 +1,4 @@
-// A client's HTTP request to an RPC, checked here.
+// Validates a client's HTTP request and converts it to a request of the core.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -17,7 +17,7 @@
 
 std::string_view path_of(boost::beast::string_view target);  // without the query
 
-// Empty and the RPC, or what is wrong with the request.
+// Sets `out` and returns an empty string, or returns an error message for the client.
 std::string to_rpc(Request&& request, const config::Labels& labels, core::Request& out);
 
 }  // namespace flintglade::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -31,30 +31,32 @@
 
 namespace {
 
-constexpr std::size_t kLargestHead = 16u << 10;
-constexpr std::size_t kRead = 16384;
-// What may wait for a slow client before its replica is no longer read.
-constexpr std::size_t kBacklog = 64u << 10;
-// A connection without an open request is closed after this long where room is short, else after kIdleClient.
-// For less it may have a request on its way, and a first request that we close on has failed.
-constexpr Micros kQuiet = 2100 * core::kMilli;
-constexpr Micros kIdleClient = 60 * core::kSecond;
-// A client that has not sent a whole request this long after it connected gets an error, or a close if it has
-// said nothing: it would hold a descriptor for as long as it likes.
-constexpr Micros kSilent = 2100 * core::kMilli, kFirstRequest = 2500 * core::kMilli;
-// The same for a later request, from its first byte; and for one that has stopped, from its last byte so far:
-// a client that stops in the middle is owed its error within 3 s.
-constexpr Micros kHalfRequest = 5 * core::kSecond, kStoppedRequest = 2500 * core::kMilli;
-// How often a client is looked at of which so much has been read ahead that its end would not be read.
-constexpr Micros kLookForEnd = 50 * core::kMilli;
-constexpr Micros kLinger = 4 * core::kSecond;  // a refused client that still sends
-constexpr std::size_t kLingerRead = 64u << 10;
-constexpr Micros kStuckWrite = 30 * core::kSecond;  // a client that reads nothing for this long
-
-constexpr const char* kTooMany = "too many clients: try again later\n";
-constexpr const char* kComeAgain = "Retry-After: 1\r\n";
-
-const char* reason(unsigned status) {
+constexpr std::size_t kMaxHeadSize = 16u << 10;
+constexpr std::size_t kReadSize = 16384;
+// Unsent response bytes of a slow client above which its replica is no longer read.
+constexpr std::size_t kMaxUnsentBytes = 64u << 10;
+// A connection without an open request is closed after kEvictableIdle if connections are scarce, otherwise
+// after kIdleTimeout. A shorter time could close the connection while a request is on its way, and that
+// request would fail.
+constexpr Micros kEvictableIdle = 2100 * core::kMilli;
+constexpr Micros kIdleTimeout = 60 * core::kSecond;
+// Limits on the time from the connection to the first byte, and to the end of the first request: otherwise a
+// client could hold a descriptor for any time. The connection is closed without a response if no byte has
+// arrived, otherwise the client receives an error.
+constexpr Micros kFirstByteTimeout = 2100 * core::kMilli, kFirstRequestTimeout = 2500 * core::kMilli;
+// The limits for a later request: from its first byte to its end, and from the last byte received if the
+// client stalls. A client that stalls in the middle of a request must get its error within 3 s.
+constexpr Micros kRequestTimeout = 5 * core::kSecond, kStalledRequestTimeout = 2500 * core::kMilli;
+// How often a client is checked for a disconnect when so much has been read ahead that reading has stopped.
+constexpr Micros kDisconnectPollInterval = 50 * core::kMilli;
+constexpr Micros kLingerTimeout = 4 * core::kSecond;  // while a client still sends after its error response
+constexpr std::size_t kLingerReadSize = 64u << 10;
+constexpr Micros kWriteTimeout = 30 * core::kSecond;  // for a client that reads nothing
+
+constexpr const char* kTooManyClients = "too many clients: try again later\n";
+constexpr const char* kRetryAfter = "Retry-After: 1\r\n";
+
+const char* reason_phrase(unsigned status) {
   switch (status) {
     case 200:
       return "OK";
@@ -85,81 +87,85 @@
                                      public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpServer& owner, tcp::socket socket)
-      : owner_(&owner), socket_(std::move(socket)), end_(socket_.get_executor()) {
+      : owner_(&owner), socket_(std::move(socket)), disconnect_timer_(socket_.get_executor()) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    since_ = heard_ = connected_ = owner.clock_.now();
-    if (owner.wants_room()) count_queue();
-    renew();
+    last_progress_ = last_received_ = connected_at_ = owner.clock_.now();
+    if (owner.under_connection_pressure()) account_for_accept_queue();
+    reset_parser();
   }
 
-  // What the client has written while it stood in the queue is taken before anybody asks what it has said:
-  // the handler of the first read comes before ours.
-  void begin() {
+  // What the client sent while the connection was in the accept queue is read before eviction considers the
+  // connection: the handler of the first read runs before the one posted here.
+  void start() {
     read();
-    asio::post(socket_.get_executor(), [self = shared_from_this()] { self->looked_ = true; });
+    asio::post(socket_.get_executor(), [self = shared_from_this()] { self->initial_read_done_ = true; });
   }
 
   void read() {
     if (owner_ == nullptr) return;
-    owner_->sweeper_.by(due());  // every step but a write ends here
+    owner_->sweep_timer_.fire_by(deadline());  // every step except a write ends here
     if (reading_) return;
-    if (buffer_.size() > kLargestHead) return look_for_end();
+    if (buffer_.size() > kMaxHeadSize) return poll_for_disconnect();
     reading_ = true;
-    socket_.async_read_some(buffer_.prepare(refused_ ? kLingerRead : kRead),
+    socket_.async_read_some(buffer_.prepare(closing_on_error_ ? kLingerReadSize : kReadSize),
                             [self = shared_from_this()](error_code ec, std::size_t n) {
                               self->reading_ = false;
                               if (self->owner_ == nullptr) return;
                               if (ec) return self->drop();
-                              self->heard_ = self->owner_->clock_.now() - std::exchange(self->queued_, 0);
+                              self->last_received_ =
+                                  self->owner_->clock_.now() - std::exchange(self->queue_delay_, 0);
                               self->buffer_.commit(n);
-                              // What follows a refused request is not read as another.
-                              if (self->refused_) self->buffer_.consume(self->buffer_.size());
-                              if (self->rpc_ == 0) self->parse();
-                              self->read();  // also while an answer runs: a client that goes away is noticed
+                              // Bytes after a request that ended in an error are not parsed as another
+                              // request.
+                              if (self->closing_on_error_) self->buffer_.consume(self->buffer_.size());
+                              if (self->request_id_ == 0) self->parse();
+                              self->read();  // also during a response, to detect a disconnect
                             });
   }
 
-  // A client that has sent further requests beside its open one is not read on. That it has gone stands
-  // behind what is not read yet, and has to be noticed all the same: nothing may be sent for it any more.
-  void look_for_end() {
-    if (looking_for_end_ || rpc_ == 0) return;
-    looking_for_end_ = true;
-    end_.expires_after(std::chrono::microseconds(kLookForEnd));
-    end_.async_wait([self = shared_from_this()](error_code ec) {
-      self->looking_for_end_ = false;
+  // A client that pipelines many requests behind the open one is not read any further. Its disconnect comes
+  // after the unread bytes, but must be detected: no attempt may be sent for it any more.
+  void poll_for_disconnect() {
+    if (polling_disconnect_ || request_id_ == 0) return;
+    polling_disconnect_ = true;
+    disconnect_timer_.expires_after(std::chrono::microseconds(kDisconnectPollInterval));
+    disconnect_timer_.async_wait([self = shared_from_this()](error_code ec) {
+      self->polling_disconnect_ = false;
       if (ec || self->owner_ == nullptr) return;
       pollfd client{self->socket_.native_handle(), POLLRDHUP, 0};
-      const bool gone = ::poll(&client, 1, 0) > 0 && (client.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-      gone ? self->drop() : self->read();
+      const bool disconnected =
+          ::poll(&client, 1, 0) > 0 && (client.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+      disconnected ? self->drop() : self->read();
     });
   }
 
   // ---- core::ResponseWriter ----
   bool write_events(std::string_view events) override {
     if (owner_ == nullptr) return true;
-    if (!began_) {
-      began_ = true;
-      out_ += "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n";
-      out_ += close_line();
-      out_ += "Transfer-Encoding: chunked\r\n\r\n";
+    if (!response_started_) {
+      response_started_ = true;
+      pending_output_ += "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n";
+      pending_output_ += close_header();
+      pending_output_ += "Transfer-Encoding: chunked\r\n\r\n";
     }
     std::array<char, 24> size{};
     std::snprintf(size.data(), size.size(), "%zx\r\n", events.size());
-    out_.append(size.data()).append(events).append("\r\n");
+    pending_output_.append(size.data()).append(events).append("\r\n");
     write();
-    // Once held up, it stays so until wrote() has said that all is written: an event that was on its way when
-    // the replica was paused must not take that word back, or nobody would ever read the replica again.
-    held_up_ = held_up_ || out_.size() > kBacklog;
-    return !held_up_;
+    // The backpressure stays until on_written() has written everything and has reported the client as
+    // writable. An event that was in flight when the replica was paused must not clear it, because the
+    // replica would then never be read again.
+    backpressured_ = backpressured_ || pending_output_.size() > kMaxUnsentBytes;
+    return !backpressured_;
   }
   void finish() override {
-    out_ += "0\r\n\r\n";
-    answered();
+    pending_output_ += "0\r\n\r\n";
+    on_response_complete();
   }
-  void abort_stream() override {  // what has come goes out; the last chunk does not
-    broken_off_ = true;
-    answered();
+  void abort_stream() override {  // received events are written; the last chunk is not
+    stream_aborted_ = true;
+    on_response_complete();
   }
   void reject(Micros retry_after, bool) override {
     std::array<char, 48> text{};
@@ -168,10 +174,10 @@
                     static_cast<double>(retry_after) / 1e6);
     }
     respond(503, "refused: try again later\n", text.data());
-    answered();
+    on_response_complete();
   }
-  void fail(core::Failure why) override {
-    switch (why) {
+  void fail(core::Failure failure) override {
+    switch (failure) {
       case core::Failure::deadline:
         respond(504, "no answer in time\n");
         break;
@@ -181,62 +187,73 @@
       case core::Failure::error:
         respond(500, "the request failed\n");
     }
-    answered();
+    on_response_complete();
   }
 
-  // All that was passed on is written, and the client reads on.
-  int describe(hot_restart::Stream& to) {
-    if (rpc_ == 0 || !began_ || writing_ || !out_.empty() || held_up_ || refused_) return -1;
-    to.set_client_unread(boost::beast::buffers_to_string(buffer_.data()));
-    to.set_client_close(client_closes_ || said_close_);
+  // Possible only while all events are written and the client keeps up with them.
+  int export_stream(hot_restart::Stream& stream) {
+    if (request_id_ == 0 || !response_started_ || writing_ || !pending_output_.empty() || backpressured_ ||
+        closing_on_error_)
+      return -1;
+    stream.set_client_unread(boost::beast::buffers_to_string(buffer_.data()));
+    stream.set_client_close(client_sent_close_ || sent_close_);
     return socket_.native_handle();
   }
-  // Another process has the connection too: our end of it goes without a word to the client.
+  // Another process has the connection too: it is released here without sending anything to the client.
   void migrated_out() {
-    rpc_ = 0;
+    request_id_ = 0;
     const auto self = shared_from_this();
     std::exchange(owner_, nullptr)->connections_.erase(self);
-    leave(socket_);
-  }
-  void migrate_in(const hot_restart::Stream& from, core::RequestId rpc) {
-    rpc_ = rpc;
-    if (rpc == 0) return drop();
-    looked_ = asked_ = began_ = true;
-    said_close_ = from.client_close();
-    buffer_.commit(
-        asio::buffer_copy(buffer_.prepare(from.client_unread().size()), asio::buffer(from.client_unread())));
+    release_and_close(socket_);
+  }
+  void migrate_in(const hot_restart::Stream& stream, core::RequestId id) {
+    request_id_ = id;
+    if (id == 0) return drop();
+    initial_read_done_ = received_request_ = response_started_ = true;
+    sent_close_ = stream.client_close();
+    buffer_.commit(asio::buffer_copy(buffer_.prepare(stream.client_unread().size()),
+                                     asio::buffer(stream.client_unread())));
     read();
   }
 
-  bool idle() const { return rpc_ == 0 && out_.empty() && !writing_ && buffer_.size() == 0 && !half_; }
-  // When its time is up, as things stand.
-  Micros due() const {
-    if (writing_ || !out_.empty()) return since_ + kStuckWrite;
-    if (rpc_ != 0) return core::kNever;
-    if (lingering_) return since_ + kLinger;
-    if (idle() && asked_) return since_ + kIdleClient;
-    if (asked_) return std::min(since_ + kHalfRequest, heard_ + kStoppedRequest);
-    return connected_ + (half_ ? kFirstRequest : kSilent);
-  }
-  bool partially_read_requests() const { return half_ && rpc_ == 0 && !refused_; }
-  bool quiet(Micros now) const { return idle() && asked_ && now - since_ > kQuiet; }
-  Client client() const {
-    const bool busy = rpc_ != 0 || writing_ || !out_.empty() || !looked_;
-    const bool half = !lingering_ && (half_ || buffer_.size() > 0);
-    return {busy, asked_ || lingering_, half, connected_, half ? heard_ : std::max(since_, heard_)};
-  }
-  // Its time is up: a client that has begun a request is told, any other sees the end of its connection.
-  void expire() { let_go(408, "the request did not come in time\n"); }
-  // The same where it goes for want of room, and may come again.
-  void make_way() { let_go(503, kTooMany, kComeAgain); }
-  // Ends the connection; a client whose RPC is still open has gone away.
+  bool idle() const {
+    return request_id_ == 0 && pending_output_.empty() && !writing_ && buffer_.size() == 0 &&
+           !partial_request_;
+  }
+  // When the connection times out in its present state; kNever while a request is open.
+  Micros deadline() const {
+    if (writing_ || !pending_output_.empty()) return last_progress_ + kWriteTimeout;
+    if (request_id_ != 0) return core::kNever;
+    if (lingering_) return last_progress_ + kLingerTimeout;
+    if (idle() && received_request_) return last_progress_ + kIdleTimeout;
+    if (received_request_)
+      return std::min(last_progress_ + kRequestTimeout, last_received_ + kStalledRequestTimeout);
+    return connected_at_ + (partial_request_ ? kFirstRequestTimeout : kFirstByteTimeout);
+  }
+  bool has_partially_read_request() const {
+    return partial_request_ && request_id_ == 0 && !closing_on_error_;
+  }
+  bool idle_long_enough(Micros now) const {
+    return idle() && received_request_ && now - last_progress_ > kEvictableIdle;
+  }
+  ConnectionState state() const {
+    const bool busy = request_id_ != 0 || writing_ || !pending_output_.empty() || !initial_read_done_;
+    const bool partial = !lingering_ && (partial_request_ || buffer_.size() > 0);
+    return {busy, received_request_ || lingering_, partial, connected_at_,
+            partial ? last_received_ : std::max(last_progress_, last_received_)};
+  }
+  // Handles a timeout: a client that has started a request gets an error, any other connection is closed.
+  void expire() { end_with_status(408, "the request did not come in time\n"); }
+  // The same for a connection that is evicted or drained; the client may retry.
+  void evict() { end_with_status(503, kTooManyClients, kRetryAfter); }
+  // Closes the connection. An open request is reported to the core as a client disconnect.
   void drop() {
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
     HttpServer& owner = *std::exchange(owner_, nullptr);
-    if (rpc_ != 0) owner.broker_.on_client_disconnected(rpc_);
+    if (request_id_ != 0) owner.broker_.on_client_disconnected(request_id_);
     error_code ignored;
-    end_.cancel();
+    disconnect_timer_.cancel();
     socket_.shutdown(tcp::socket::shutdown_both, ignored);
     socket_.close(ignored);
     owner.connections_.erase(self);
@@ -244,66 +261,71 @@
   }
 
  private:
-  void let_go(unsigned status, const char* why, const char* extra = "") {
-    if (!half_ || refused_ || writing_ || !out_.empty()) return drop();
-    refuse(status, why, extra);
-  }
-  // A connection may have stood in the listener's queue for long: its times are those of its handshake and of
-  // the last byte that came, not of our look at it. Seen without: each of thousands was waited for anew.
-  void count_queue() {
+  void end_with_status(unsigned status, const char* body, const char* header = "") {
+    if (!partial_request_ || closing_on_error_ || writing_ || !pending_output_.empty()) return drop();
+    respond_and_close(status, body, header);
+  }
+  // A connection may have been in the accept queue for long. Its timeouts count from its handshake and from
+  // the last byte received, not from the accept: otherwise the router waits the full timeout again for each
+  // of thousands of connections.
+  void account_for_accept_queue() {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return;
-    const Micros data = info.tcpi_last_data_recv * core::kMilli,
-                 word = info.tcpi_last_ack_recv * core::kMilli;
-    queued_ = std::min({data, word, kSilent});
-    connected_ -= std::min(word, kSilent);
+    const Micros since_last_data = info.tcpi_last_data_recv * core::kMilli,
+                 since_last_ack = info.tcpi_last_ack_recv * core::kMilli;
+    queue_delay_ = std::min({since_last_data, since_last_ack, kFirstByteTimeout});
+    connected_at_ -= std::min(since_last_ack, kFirstByteTimeout);
   }
-  void renew() {
+  void reset_parser() {
     parser_.emplace();
     parser_->eager(true);
     parser_->body_limit(kLargestBody);
-    parser_->header_limit(kLargestHead);
-    half_ = false;
+    parser_->header_limit(kMaxHeadSize);
+    partial_request_ = false;
   }
-  // The head of an answer says so if it is this connection's last. It is not while requests wait that have
-  // been read already: each of them gets its answer here, since its client cannot know that it was not read.
-  const char* close_line() {
-    const bool enough = owner_->broker_.phase() != core::Phase::serving || wanted_back_;
-    if (client_closes_ || refused_ || (enough && buffer_.size() == 0)) said_close_ = true;
-    return said_close_ ? "Connection: close\r\n" : "";
+  // The header that announces the last response of this connection, or an empty string. A response is not the
+  // last one while requests wait that have already been read: each of them is answered here, since the client
+  // cannot know whether they were read.
+  const char* close_header() {
+    const bool no_more_requests = owner_->broker_.phase() != core::Phase::serving || close_after_response_;
+    if (client_sent_close_ || closing_on_error_ || (no_more_requests && buffer_.size() == 0))
+      sent_close_ = true;
+    return sent_close_ ? "Connection: close\r\n" : "";
   }
 
   void parse() {
-    while (owner_ != nullptr && rpc_ == 0 && !client_closes_ && !refused_ && buffer_.size() > 0) {
-      if (!half_) since_ = owner_->clock_.now();
-      half_ = true;
+    while (owner_ != nullptr && request_id_ == 0 && !client_sent_close_ && !closing_on_error_ &&
+           buffer_.size() > 0) {
+      if (!partial_request_) last_progress_ = owner_->clock_.now();
+      partial_request_ = true;
       error_code ec;
-      const std::size_t used = parser_->put(buffer_.data(), ec);
-      buffer_.consume(used);
+      const std::size_t consumed = parser_->put(buffer_.data(), ec);
+      buffer_.consume(consumed);
       if (ec == beast_http::error::need_more) {
         if (!parser_->is_done()) return;
       } else if (ec) {
-        const bool large = ec == beast_http::error::body_limit;
-        return refuse(large ? 413 : 400,
-                      large ? "the body is larger than 256 KiB\n" : "not an HTTP request\n");
+        const bool too_large = ec == beast_http::error::body_limit;
+        return respond_and_close(too_large ? 413 : 400,
+                                 too_large ? "the body is larger than 256 KiB\n" : "not an HTTP request\n");
       }
-      if (parser_->is_header_done() && !framed(parser_->get())) {
-        return refuse(400, "the length of the body is in doubt\n");
+      if (parser_->is_header_done() && !has_unambiguous_framing(parser_->get())) {
+        return respond_and_close(400, "the length of the body is in doubt\n");
       }
       if (!parser_->is_done()) continue;
-      if (!parser_->keep_alive()) client_closes_ = true;
+      if (!parser_->keep_alive()) client_sent_close_ = true;
       Request request = parser_->release();
-      renew();
-      asked_ = true;
+      reset_parser();
+      received_request_ = true;
       handle(std::move(request));
     }
   }
 
   void handle(Request&& request) {
-    if (said_close_) {
-      // It crossed our word that the connection ends. Its client may have sent it again elsewhere by now.
-      respond(503, kTooMany, kComeAgain);
+    if (sent_close_) {
+      // The request was sent before the client received our "Connection: close". The client may have retried
+      // it elsewhere by now.
+      respond(503, kTooManyClients, kRetryAfter);
       return write();
     }
     const std::string_view path = path_of(request.target());
@@ -320,134 +342,138 @@
       respond(405, "POST only\n");
       return write();
     }
-    auto rpc = std::make_shared<core::Request>();
-    const std::string wrong = to_rpc(std::move(request), owner_->settings_.labels, *rpc);
-    if (!wrong.empty()) {
-      respond(400, wrong + "\n");
+    auto core_request = std::make_shared<core::Request>();
+    const std::string error = to_rpc(std::move(request), owner_->settings_.labels, *core_request);
+    if (!error.empty()) {
+      respond(400, error + "\n");
       return write();
     }
-    if (owner_->crowded()) {
-      // The kernel takes clients in whether we accept them or not, and what they have sent then counts as
-      // taken. Rather than leave them waiting in the listener's queue, tell them at once to come again.
-      owner_->broker_.on_request_shed(rpc->request_class);
-      wanted_back_ = true;
-      respond(503, kTooMany, kComeAgain);
+    if (owner_->should_shed()) {
+      // The kernel establishes connections and receives requests whether or not we accept them. Instead of
+      // leaving clients to wait in the accept queue, ask them at once to retry.
+      owner_->broker_.on_request_shed(core_request->request_class);
+      close_after_response_ = true;
+      respond(503, kTooManyClients, kRetryAfter);
       return write();
     }
-    if (owner_->wants_room()) wanted_back_ = true;  // served, but its descriptor is wanted back
-    began_ = false;
-    rpc_ = owner_->broker_.on_request(std::move(rpc), shared_from_this());
-    if (rpc_ == 0) {
+    if (owner_->under_connection_pressure())
+      close_after_response_ = true;  // served, but its descriptor is needed afterwards
+    response_started_ = false;
+    request_id_ = owner_->broker_.on_request(std::move(core_request), shared_from_this());
+    if (request_id_ == 0) {
       respond(409, "a request with this id is open\n");
       write();
     }
   }
 
-  // Where Content-Length and Transfer-Encoding disagree on where a body ends, or an encoding is none that the
-  // parser follows, what one reader takes for a body holds another request for the next reader.
-  static bool framed(const Request& request) {
+  // If Content-Length and Transfer-Encoding disagree on where a body ends, or the encoding is one that the
+  // parser does not implement, bytes that one recipient takes for the body are another request for the next
+  // one (request smuggling).
+  static bool has_unambiguous_framing(const Request& request) {
     const auto encoding = request[beast_http::field::transfer_encoding];
     if (request.count(beast_http::field::transfer_encoding) == 0) return true;
     return request.count(beast_http::field::content_length) == 0 &&
            boost::beast::iequals(encoding, "chunked");
   }
 
-  // An error after which nothing on this connection can be trusted.
-  void refuse(unsigned status, const char* why, const char* extra = "") {
-    refused_ = true;
+  // Sends an error response after which the connection is not used for further requests.
+  void respond_and_close(unsigned status, const char* body, const char* header = "") {
+    closing_on_error_ = true;
     buffer_.consume(buffer_.size());
-    respond(status, why, extra);
+    respond(status, body, header);
     write();
     read();
   }
 
-  void respond(unsigned status, const std::string& body, const char* extra = "") {
+  void respond(unsigned status, const std::string& body, const char* header = "") {
     if (owner_ == nullptr) return;
-    out_ += "HTTP/1.1 " + std::to_string(status) + " " + reason(status) +
-            "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + extra;
-    out_ += close_line();
-    out_ += "\r\n" + body;
+    pending_output_ += "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) +
+                       "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) +
+                       "\r\n" + header;
+    pending_output_ += close_header();
+    pending_output_ += "\r\n" + body;
   }
 
-  void answered() {
+  void on_response_complete() {
     if (owner_ == nullptr) return;
-    rpc_ = 0;
-    held_up_ = false;
+    request_id_ = 0;
+    backpressured_ = false;
     write();
-    if (!writing_) settle();
+    if (!writing_) continue_or_close();
   }
 
   void write() {
-    if (owner_ == nullptr || writing_ || out_.empty()) return;
+    if (owner_ == nullptr || writing_ || pending_output_.empty()) return;
     writing_ = true;
-    since_ = owner_->clock_.now();
-    sending_ = std::exchange(out_, {});
-    owner_->sweeper_.by(due());
-    net::write_all(socket_, {asio::buffer(sending_)},
-                   [self = shared_from_this()](error_code ec) { self->wrote(ec); });
+    last_progress_ = owner_->clock_.now();
+    write_buffer_ = std::exchange(pending_output_, {});
+    owner_->sweep_timer_.fire_by(deadline());
+    net::write_all(socket_, {asio::buffer(write_buffer_)},
+                   [self = shared_from_this()](error_code ec) { self->on_written(ec); });
   }
 
-  void wrote(error_code ec) {
+  void on_written(error_code ec) {
     writing_ = false;
-    sending_.clear();
+    write_buffer_.clear();
     if (owner_ == nullptr) return;
     if (ec) return drop();
-    since_ = owner_->clock_.now();
-    if (!out_.empty()) return write();
-    if (held_up_) {
-      held_up_ = false;
-      owner_->broker_.on_client_writable(rpc_);
+    last_progress_ = owner_->clock_.now();
+    if (!pending_output_.empty()) return write();
+    if (backpressured_) {
+      backpressured_ = false;
+      owner_->broker_.on_client_writable(request_id_);
     }
-    settle();
+    continue_or_close();
   }
 
-  // All is written: the connection closes, or goes on with the next request, if one has come already.
-  void settle() {
-    if (rpc_ != 0) return;
-    if (refused_ && !lingering_) {
-      // The client may still be sending what was refused. Closing now would answer those bytes with a reset,
-      // which can take the answer away before the client has read it: say that no more comes, and read on.
+  // Called when everything is written: closes the connection, or continues with the next request if one has
+  // already been received.
+  void continue_or_close() {
+    if (request_id_ != 0) return;
+    if (closing_on_error_ && !lingering_) {
+      // The client may still be sending the request. Closing now would answer those bytes with a reset, which
+      // can discard the response before the client has read it: shut down the sending side and keep reading.
       lingering_ = true;
-      since_ = owner_->clock_.now();
+      last_progress_ = owner_->clock_.now();
       error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
       return read();
     }
     if (lingering_) return;
-    if (client_closes_ || broken_off_) return drop();
+    if (client_sent_close_ || stream_aborted_) return drop();
     parse();
     if (owner_ == nullptr) return;
-    if (at_its_end()) return drop();
+    if (should_close()) return drop();
     read();
   }
 
-  // Nothing is to be answered or written here, and no further request is wanted. One that is half read is
-  // waited for, unless its client has been told that the connection ends.
-  bool at_its_end() const {
-    if (rpc_ != 0 || writing_ || !out_.empty() || refused_) return false;
-    if (said_close_) return true;
-    return !half_ && (wanted_back_ || owner_->broker_.phase() != core::Phase::serving);
+  // No response is open or unwritten, and no further request is accepted here. A partially received request
+  // is waited for, unless a response has already announced the close.
+  bool should_close() const {
+    if (request_id_ != 0 || writing_ || !pending_output_.empty() || closing_on_error_) return false;
+    if (sent_close_) return true;
+    return !partial_request_ && (close_after_response_ || owner_->broker_.phase() != core::Phase::serving);
   }
 
-  HttpServer* owner_;  // empty once closed
+  HttpServer* owner_;  // null once closed
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<beast_http::request_parser<beast_http::string_body>> parser_;
-  std::string out_, sending_;
-  core::RequestId rpc_ = 0;  // the RPC that waits for its answer; 0: none
-  Micros since_ = 0;         // the last step forward: a request's first byte, or a write
-  Micros heard_ = 0;         // the last byte that came
-  Micros queued_ = 0;        // how long the first byte that is read has waited for us
-  Micros connected_ = 0;
-  bool looked_ = false;  // what came with the connection has been read
-  bool asked_ = false;   // a whole request has come on it
-  asio::steady_timer end_;
-  bool reading_ = false, writing_ = false, began_ = false, held_up_ = false, half_ = false, refused_ = false,
-       lingering_ = false, looking_for_end_ = false;
-  bool client_closes_ = false;  // it has said that what it asked last is its last request
-  bool wanted_back_ = false;    // its descriptor is wanted for others
-  bool said_close_ = false;     // an answer's head has said that this connection ends
-  bool broken_off_ = false;     // its answer ended without its last chunk
+  std::string pending_output_, write_buffer_;
+  core::RequestId request_id_ = 0;  // the open request; 0: none
+  Micros last_progress_ = 0;        // the first byte of a request, or the start or end of a write
+  Micros last_received_ = 0;        // when the last byte arrived
+  Micros queue_delay_ = 0;          // how long the first bytes waited in the accept queue
+  Micros connected_at_ = 0;
+  bool initial_read_done_ = false;  // the bytes received before the accept have been read
+  bool received_request_ = false;   // a complete request has been received
+  asio::steady_timer disconnect_timer_;
+  bool reading_ = false, writing_ = false, response_started_ = false, backpressured_ = false,
+       partial_request_ = false, closing_on_error_ = false, lingering_ = false, polling_disconnect_ = false;
+  bool client_sent_close_ = false;     // its latest request is its last one
+  bool close_after_response_ = false;  // its descriptor is needed for other clients
+  bool sent_close_ = false;            // a response has announced the close
+  bool stream_aborted_ = false;        // the response ended without its last chunk
 };
 
 HttpServer::HttpServer(asio::io_context& io, core::Broker& broker, core::Clock& clock,
@@ -457,26 +483,26 @@
       clock_(clock),
       settings_(std::move(settings)),
       acceptor_(io),
-      sweeper_(io, clock, [this] { sweep(); }),
-      again_(io) {}
+      sweep_timer_(io, clock, [this] { sweep(); }),
+      accept_retry_timer_(io) {}
 
 HttpServer::~HttpServer() {
-  accepting_ = true;  // drop() is not to accept anew
+  accepting_ = true;  // keeps drop() from accepting
   while (!connections_.empty()) (*connections_.begin())->drop();
 }
 
-std::string HttpServer::listen(const config::HostPort& at) {
-  const std::string error = http::listen(acceptor_, at);
-  if (error.empty()) begin();
+std::string HttpServer::listen(const config::HostPort& address) {
+  const std::string error = http::listen(acceptor_, address);
+  if (error.empty()) start_accepting();
   return error;
 }
-std::string HttpServer::listen(int descriptor, std::function<bool()> open) {
+std::string HttpServer::listen(int descriptor, std::function<bool()> may_accept) {
   const std::string error = adopt(acceptor_, descriptor);
-  open_ = std::move(open);
-  if (error.empty()) begin();
+  may_accept_ = std::move(may_accept);
+  if (error.empty()) start_accepting();
   return error;
 }
-void HttpServer::begin() {
+void HttpServer::start_accepting() {
   port_ = acceptor_.local_endpoint().port();
   accept();
 }
@@ -485,129 +511,139 @@
 }
 void HttpServer::look() {
   resume();
-  if (wants_room()) sweeper_.by(clock_.now());
+  if (under_connection_pressure()) sweep_timer_.fire_by(clock_.now());
 }
-// What has been accepted is served; what waits in the queue is another process's.
+// Accepted connections are still served; those in the accept queue are left to another process.
 void HttpServer::stop_accepting() {
   error_code ignored;
   acceptor_.close(ignored);
 }
 
 void HttpServer::accept() {
-  // Past the budget of descriptors a few more are let in, to be told so; beyond them new clients wait in the
-  // listener's queue until a connection ends.
-  const ConnectionEviction crowd = this->crowd();
-  if (crowd.pressing(connections_.size())) make_room(crowd);
-  accepting_ =
-      acceptor_.is_open() && (!open_ || open_()) && connections_.size() < crowd.room() + settings_.crowd;
-  if (wants_room()) sweeper_.by(clock_.now() + IdleTimer::kApart);
+  // A few connections above the limit are accepted so that their clients can be answered with a 503; further
+  // clients wait in the accept queue until a connection ends.
+  const ConnectionEviction eviction = this->eviction();
+  if (eviction.above_hard_limit(connections_.size())) evict_connections(eviction);
+  accepting_ = acceptor_.is_open() && (!may_accept_ || may_accept_()) &&
+               connections_.size() < eviction.capacity() + settings_.overflow_connections;
+  if (under_connection_pressure()) sweep_timer_.fire_by(clock_.now() + IdleTimer::kMinSweepInterval);
   if (!accepting_) return;
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
     if (ec) {
-      // EMFILE and its like: accepting again at once would spin. Give a descriptor back and wait a little.
-      if (shed_ && net::lacks_descriptors(ec)) shed_();
+      // EMFILE and similar errors: accepting again at once would loop without progress. Free a descriptor and
+      // wait for a short time.
+      if (release_descriptor_ && net::is_descriptor_exhaustion(ec)) release_descriptor_();
       return accept_later();
     }
     const auto connection = std::make_shared<Connection>(*this, std::move(socket));
     connections_.insert(connection);
-    connection->begin();
+    connection->start();
     accept();
   });
 }
 
 void HttpServer::accept_later() {
-  again_.expires_after(std::chrono::milliseconds(20));
-  again_.async_wait([this](error_code ec) {
+  accept_retry_timer_.expires_after(std::chrono::milliseconds(20));
+  accept_retry_timer_.async_wait([this](error_code ec) {
     if (!ec) accept();
   });
 }
 
-bool HttpServer::crowded() const { return over_budget() && broker_.requests_in_flight() >= settings_.room(); }
-// Quiet connections are to go, or nobody can be let in: that is looked at now and again.
-bool HttpServer::wants_room() const {
-  return crowd().filling(connections_.size()) || (!accepting_ && acceptor_.is_open());
+bool HttpServer::should_shed() const {
+  return over_connection_limit() && broker_.requests_in_flight() >= settings_.room();
+}
+// Idle connections have to be evicted, or no client can be accepted: sweeps are then made at short intervals.
+bool HttpServer::under_connection_pressure() const {
+  return eviction().above_soft_limit(connections_.size()) || (!accepting_ && acceptor_.is_open());
 }
-bool HttpServer::over_budget() const { return connections_.size() > settings_.room(); }
+bool HttpServer::over_connection_limit() const { return connections_.size() > settings_.room(); }
 
-// Clients may ask once and hold their connection for good, or never ask: http/connection_eviction.h says who
-// goes, and when.
-void HttpServer::make_room(const ConnectionEviction& crowd) {
+// Clients may keep a connection open for any time after a request, or without sending one. The order of
+// eviction is documented in http/connection_eviction.h.
+void HttpServer::evict_connections(const ConnectionEviction& eviction) {
   const Micros now = clock_.now();
-  if (!crowd.filling(connections_.size())) return;
-  struct Leaver {
-    int order;
-    Micros moved;
+  if (!eviction.above_soft_limit(connections_.size())) return;
+  struct Candidate {
+    int rank;
+    Micros last_activity;
     std::shared_ptr<Connection> connection;
   };
-  std::vector<Leaver> leavers;
-  const bool pressing = crowd.pressing(connections_.size());
-  for (const auto& c : connections_) {
-    const Client client = c->client();
-    const int order = pressing        ? ConnectionEviction::order(client, now)
-                      : c->quiet(now) ? 0
-                                      : ConnectionEviction::kNobody;
-    if (order != ConnectionEviction::kNobody) leavers.push_back({order, client.moved, c});
-  }
-  std::sort(leavers.begin(), leavers.end(), [](const Leaver& a, const Leaver& b) {
-    return a.order != b.order ? a.order < b.order : a.moved < b.moved;
+  std::vector<Candidate> candidates;
+  const bool urgent = eviction.above_hard_limit(connections_.size());
+  for (const auto& connection : connections_) {
+    const ConnectionState state = connection->state();
+    const int rank = urgent                              ? ConnectionEviction::eviction_rank(state, now)
+                     : connection->idle_long_enough(now) ? 0
+                                                         : ConnectionEviction::kNotEvictable;
+    if (rank != ConnectionEviction::kNotEvictable)
+      candidates.push_back({rank, state.last_activity, connection});
+  }
+  std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
+    return a.rank != b.rank ? a.rank < b.rank : a.last_activity < b.last_activity;
   });
-  const bool was_accepting = std::exchange(accepting_, true);  // drop() is not to accept meanwhile
-  for (const Leaver& l : leavers) {
-    if (!(pressing ? crowd.pressing(connections_.size()) : crowd.filling(connections_.size()))) break;
-    l.connection->make_way();
+  const bool was_accepting = std::exchange(accepting_, true);  // keeps drop() from accepting
+  for (const Candidate& candidate : candidates) {
+    if (!(urgent ? eviction.above_hard_limit(connections_.size())
+                 : eviction.above_soft_limit(connections_.size())))
+      break;
+    candidate.connection->evict();
   }
   accepting_ = was_accepting;
 }
 
-int HttpServer::describe(core::ResponseWriter& client, hot_restart::Stream& to) {
-  return static_cast<Connection&>(client).describe(to);
+int HttpServer::export_stream(core::ResponseWriter& client, hot_restart::Stream& stream) {
+  return static_cast<Connection&>(client).export_stream(stream);
 }
 void HttpServer::migrated_out(core::ResponseWriter& client) {
   static_cast<Connection&>(client).migrated_out();
 }
 void HttpServer::migrate_in(
-    int descriptor, const hot_restart::Stream& from,
-    const std::function<core::RequestId(std::shared_ptr<core::ResponseWriter>)>& go_on) {
+    int descriptor, const hot_restart::Stream& stream,
+    const std::function<core::RequestId(std::shared_ptr<core::ResponseWriter>)>& resume_request) {
   error_code ec;
   tcp::socket socket(io_);
   socket.assign(protocol_of(descriptor), descriptor, ec);
   const auto connection = std::make_shared<Connection>(*this, std::move(socket));
   connections_.insert(connection);
-  connection->migrate_in(from, go_on(connection));
+  connection->migrate_in(stream, resume_request(connection));
 }
 
 std::size_t HttpServer::partially_read_requests() const {
-  return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
-                                                [](const auto& c) { return c->partially_read_requests(); }));
+  return static_cast<std::size_t>(
+      std::count_if(connections_.begin(), connections_.end(),
+                    [](const auto& connection) { return connection->has_partially_read_request(); }));
 }
 
 void HttpServer::refuse_half_read() {
-  std::vector<std::shared_ptr<Connection>> half;
-  std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(half),
-               [](const auto& c) { return c->partially_read_requests(); });
-  for (const auto& c : half) c->make_way();
+  std::vector<std::shared_ptr<Connection>> incomplete;
+  std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(incomplete),
+               [](const auto& connection) { return connection->has_partially_read_request(); });
+  for (const auto& connection : incomplete) connection->evict();
 }
 
 void HttpServer::close_idle() {
   std::vector<std::shared_ptr<Connection>> idle;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(idle),
-               [](const auto& c) { return c->idle(); });
-  for (const auto& c : idle) c->drop();
+               [](const auto& connection) { return connection->idle(); });
+  for (const auto& connection : idle) connection->drop();
 }
 
 void HttpServer::sweep() {
   const Micros now = clock_.now();
   std::vector<std::shared_ptr<Connection>> expired;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(expired),
-               [now](const auto& c) { return c->due() <= now; });
-  for (const auto& c : expired) c->expire();
-  make_room(crowd());
-  // Accepting stops while nobody can be let in; it is looked at here too, not only when a connection ends.
+               [now](const auto& connection) { return connection->deadline() <= now; });
+  for (const auto& connection : expired) connection->expire();
+  evict_connections(eviction());
+  // Accepting may have stopped because the limit was reached; it is retried here, not only when a connection
+  // ends.
   resume();
-  Micros next = core::kNever;
-  for (const auto& c : connections_) next = std::min(next, c->due());
-  sweeper_.by(wants_room() ? now + IdleTimer::kApart : std::max(next, now + IdleTimer::kApart));
+  Micros next_deadline = core::kNever;
+  for (const auto& connection : connections_) next_deadline = std::min(next_deadline, connection->deadline());
+  sweep_timer_.fire_by(under_connection_pressure()
+                           ? now + IdleTimer::kMinSweepInterval
+                           : std::max(next_deadline, now + IdleTimer::kMinSweepInterval));
 }
 
 }  // namespace flintglade::http
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,4 +1,4 @@
-// The platform's front: HTTP/1.1 from clients to RPCs of the core, and answers back.
+// HTTP/1.1 server for clients: passes their requests to the core and writes the responses.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -19,60 +19,71 @@
 
 struct ServerSettings {
   config::Labels labels;
-  std::function<std::size_t()> room;  // how many connections it may hold at present
-  std::size_t crowd = 32;             // let in beyond that, only to be told to come again
+  std::function<std::size_t()> room;  // the current limit on client connections
+  // Connections accepted beyond the limit, only to be answered with a 503 and Retry-After.
+  std::size_t overflow_connections = 32;
 };
 
 class HttpServer {
  public:
   HttpServer(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock, ServerSettings settings);
   ~HttpServer();
-  // Each gives an empty string, or one line that says what is wrong.
-  std::string listen(const config::HostPort& at);
-  // From a socket that other processes may accept from too: only while open() says so.
-  std::string listen(int descriptor, std::function<bool()> open);
-  void look();  // open() or the room may have changed their mind
+  // Both return an empty string, or a one-line error message.
+  std::string listen(const config::HostPort& address);
+  // Listens on an inherited socket from which other processes may accept too; accepts only while may_accept()
+  // returns true.
+  std::string listen(int descriptor, std::function<bool()> may_accept);
+  // To be called when the result of may_accept() or the connection limit may have changed.
+  void look();
+  // Closes the listening socket. Accepted connections are still served.
   void stop_accepting();
   std::uint16_t port() const { return port_; }
   std::size_t connections() const { return connections_.size(); }
-  // Called when no descriptor is left: gives one back elsewhere.
-  void on_exhausted(std::function<bool()> shed) { shed_ = std::move(shed); }
-  // A client whose answer is in its middle and moves to or from another process of this router.
-  // Gives the descriptor, which stays here until migrated_out(), and writes what else there is to know; -1:
-  // not at this moment.
-  static int describe(core::ResponseWriter& client, hot_restart::Stream& to);
+  // Sets a function that is called when no descriptor is left, and frees one elsewhere.
+  void on_exhausted(std::function<bool()> release_descriptor) {
+    release_descriptor_ = std::move(release_descriptor);
+  }
+  // Stream migration: moves the client connection of an unfinished response to or from another process of
+  // this router. export_stream() returns the descriptor, which stays open here until migrated_out(), and sets
+  // the client's fields of `stream`; it returns -1 if the response cannot move at this moment.
+  static int export_stream(core::ResponseWriter& client, hot_restart::Stream& stream);
   static void migrated_out(core::ResponseWriter& client);
-  // go_on: puts the answer into the core, and gives its id; 0: it cannot go on, and the client sees the end.
-  void migrate_in(int descriptor, const hot_restart::Stream& from,
-                  const std::function<core::RequestId(std::shared_ptr<core::ResponseWriter>)>& go_on);
-  std::size_t partially_read_requests() const;  // clients in the middle of a request
-  void refuse_half_read();  // a drain takes no more: they are told so, and may come again elsewhere
-  void close_idle();        // draining: no RPC will come any more on connections that have none
+  // resume_request: registers the request with the core and returns its id; 0 if it cannot continue, and the
+  // client connection is then closed.
+  void migrate_in(
+      int descriptor, const hot_restart::Stream& stream,
+      const std::function<core::RequestId(std::shared_ptr<core::ResponseWriter>)>& resume_request);
+  std::size_t partially_read_requests() const;  // connections with an incomplete request
+  // Answers incomplete requests with a 503 when a drain accepts no more requests; the clients may retry
+  // elsewhere.
+  void refuse_half_read();
+  // Closes the connections without a request, which get no further ones while draining.
+  void close_idle();
 
  private:
   class Connection;
-  void begin();
+  void start_accepting();
   void accept();
   void accept_later();
-  void resume();  // accepts again, if it had stopped and may
+  void resume();  // accepts again if it had stopped and may_accept() allows it
   void sweep();
-  bool crowded() const;
-  bool over_budget() const;
-  bool wants_room() const;
-  ConnectionEviction crowd() const { return ConnectionEviction(settings_.room()); }
-  void make_room(const ConnectionEviction& crowd);
+  bool should_shed() const;
+  bool over_connection_limit() const;
+  bool under_connection_pressure() const;
+  ConnectionEviction eviction() const { return ConnectionEviction(settings_.room()); }
+  void evict_connections(const ConnectionEviction& eviction);
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
   ServerSettings settings_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  IdleTimer sweeper_;
-  boost::asio::steady_timer again_;
-  std::function<bool()> shed_;
+  IdleTimer sweep_timer_;
+  boost::asio::steady_timer accept_retry_timer_;
+  std::function<bool()> release_descriptor_;
   std::set<std::shared_ptr<Connection>> connections_;
   std::uint16_t port_ = 0;
-  std::function<bool()> open_;  // empty: always
+  std::function<bool()> may_accept_;  // empty: accepting is always allowed
   bool accepting_ = false;
 };
 
--- a/src/http/sse.h
+++ b/src/http/sse.h
@@ -1,5 +1,5 @@
-// Server-sent events across the borders of chunks: hands on whole events, byte for byte, and reads from them
-// what the module wants to know.
+// Reassembles server-sent events that are split across chunks: passes on complete events byte for byte, and
+// reads the values from them that the decision module uses.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,32 @@
 
 class EventStream {
  public:
-  // Takes bytes as they come; gives all events that are whole by now, unchanged.
+  // Appends received bytes; returns all events that are complete by now, unchanged.
   std::string feed(std::string_view bytes);
-  // What is left at the end of a whole stream: an event without its empty line.
-  std::string rest();
-  // What came is no event stream: an event without end, or lines that no event has. The bytes of a chunk
-  // whose size was wrong look so; nothing of them may be passed on. feed() gives what stood whole before
-  // them.
-  bool spoilt() const { return spoilt_ || partial_.size() > kLongestEvent; }
+  // Returns what is left at the end of a complete stream: an event without its terminating empty line.
+  std::string finish();
+  // Whether the received bytes are not an event stream: an event that is too long, or lines that are not
+  // fields of an event. The bytes of a chunk with a wrong size look like this, and none of them may be passed
+  // on. feed() returns the complete events before them.
+  bool malformed() const { return malformed_ || partial_.size() > kMaxEventSize; }
   std::uint32_t cached_tokens() const { return cached_tokens_; }
-  // What has come of the next event; with cached_tokens(), all there is to go on with elsewhere.
+  // The received part of the next event; with cached_tokens(), the whole state that restore() needs.
   const std::string& partial() const { return partial_; }
-  void go_on(std::string partial, std::uint32_t cached_tokens) {
+  void restore(std::string partial, std::uint32_t cached_tokens) {
     partial_ = std::move(partial);
     cached_tokens_ = cached_tokens;
   }
 
  private:
-  static constexpr std::size_t kLongestEvent = 256u << 10;
-  void read(std::string_view events);
+  static constexpr std::size_t kMaxEventSize = 256u << 10;
+  void read_cached_tokens(std::string_view events);
   std::string partial_;
-  bool spoilt_ = false;
+  bool malformed_ = false;
   std::uint32_t cached_tokens_ = 0;
 };
 
-// A load report, `TEXT inflight=7, queue=2`: the values of the named fields in their order; empty
-// unless all are there and can be read, so that the last good one stays in force.
+// Parses a load report, `TEXT inflight=7, queue=2`: returns the values of `fields` in their order. Returns an
+// empty vector if one is missing or unreadable, so that the last valid report stays in force.
 std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace flintglade::http
--- a/src/http/stream_migration.h
+++ b/src/http/stream_migration.h
@@ -1,5 +1,5 @@
-// Answers in their middle, from one process of a router to another: both connections go, and what each side
-// knows.
+// Stream migration: moves unfinished streaming responses from one process of a router to another, with the
+// client connection, the replica connection and the state of both.
 #pragma once
 
 #include <array>
@@ -14,23 +14,25 @@
 
 class StreamMigration {
  public:
-  using Descriptors = std::array<int, 2>;  // the client's, then the replica's
-  // Offers one answer to another process; true: it has it, with copies of both descriptors.
+  using Descriptors = std::array<int, 2>;  // client connection, replica connection
+  // Offers one response to another process. Returns true if that process has received it, with copies of both
+  // descriptors.
   using Offer = std::function<bool(std::string_view bytes, Descriptors descriptors)>;
 
-  StreamMigration(core::Broker& broker, HttpServer& front, HttpReplicaClient& replicas)
-      : broker_(broker), front_(front), replicas_(replicas) {}
+  StreamMigration(core::Broker& broker, HttpServer& server, HttpReplicaClient& replicas)
+      : broker_(broker), server_(server), replicas_(replicas) {}
 
-  // Offers each answer that can move at this moment, up to the first that is not taken. Call it when no
-  // handler of the loop waits to run: bytes that were read already would be lost.
+  // Offers each response that can move at this moment, and stops at the first one that is not accepted. To be
+  // called only when no handler of the event loop is pending, since bytes that have already been read would
+  // be lost.
   void out(const Offer& offer);
-  // Goes on with an answer of another process. Whatever is wrong with it ends both connections, as the other
-  // process's end would have.
+  // Continues a response of another process. On any error both connections are closed, as if the other
+  // process had exited.
   void in(std::string_view bytes, Descriptors descriptors);
 
  private:
   core::Broker& broker_;
-  HttpServer& front_;
+  HttpServer& server_;
   HttpReplicaClient& replicas_;
 };
 
--- a/src/net/errors.h
+++ b/src/net/errors.h
@@ -1,4 +1,4 @@
-// What system calls on sockets may lack on this machine for a moment, by their errors.
+// Classifies errors of socket calls: temporary shortages of resources on this machine.
 #pragma once
 
 #include <boost/asio/error.hpp>
@@ -6,16 +6,16 @@
 
 namespace flintglade::net {
 
-inline bool lacks_descriptors(boost::system::error_code why) {
-  return why == boost::asio::error::no_descriptors ||
-         why == boost::system::errc::too_many_files_open_in_system;
+inline bool is_descriptor_exhaustion(boost::system::error_code error) {
+  return error == boost::asio::error::no_descriptors ||
+         error == boost::system::errc::too_many_files_open_in_system;
 }
 
-// What fails here before a packet has left for the peer, and passes: it says nothing of the peer.
-inline bool lacks_here(boost::system::error_code why) {
-  return lacks_descriptors(why) || why == boost::asio::error::no_buffer_space ||
-         why == boost::asio::error::no_memory || why == boost::system::errc::address_not_available ||
-         why == boost::asio::error::network_unreachable;
+// Temporary local failures that occur before any packet is sent: they give no information about the peer.
+inline bool is_local_resource_error(boost::system::error_code error) {
+  return is_descriptor_exhaustion(error) || error == boost::asio::error::no_buffer_space ||
+         error == boost::asio::error::no_memory || error == boost::system::errc::address_not_available ||
+         error == boost::asio::error::network_unreachable;
 }
 
 }  // namespace flintglade::net
--- a/src/net/unique_fd.h
+++ b/src/net/unique_fd.h
@@ -1,4 +1,4 @@
-// A file descriptor with one owner.
+// Unique ownership of a file descriptor, which is closed on destruction.
 #pragma once
 
 #include <unistd.h>
@@ -22,7 +22,7 @@
 
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  // The caller owns it from now on.
+  // Passes ownership to the caller.
   int release() { return std::exchange(fd_, -1); }
   void reset(int fd = -1) {
     if (fd_ >= 0) ::close(fd_);
--- a/src/net/write_all.cpp
+++ b/src/net/write_all.cpp
@@ -13,13 +13,14 @@
 
 void consume(WriteBuffers& buffers, std::size_t written) {
   for (asio::const_buffer& buffer : buffers) {
-    const std::size_t part = std::min(written, buffer.size());
-    buffer += part;
-    written -= part;
+    const std::size_t consumed = std::min(written, buffer.size());
+    buffer += consumed;
+    written -= consumed;
   }
 }
 
-// Until all is written, an error, or until the connection takes no more for now. False: it takes no more.
+// Writes until everything is written, an error occurs or the socket is not writable. False: it is not
+// writable.
 bool write_some(tcp::socket& socket, WriteBuffers& buffers, error_code& ec) {
   ec = {};
   while (!ec && asio::buffer_size(buffers) > 0) {
@@ -30,7 +31,7 @@
 }
 
 void write_when_ready(tcp::socket& socket, WriteBuffers buffers, Done done) {
-  // Waiting asks anew whether the connection is writable, unlike a write that is started again.
+  // Waiting checks again whether the socket is writable; Asio does not do so when a write is started again.
   socket.async_wait(
       tcp::socket::wait_write, [&socket, buffers, done = std::move(done)](error_code ec) mutable {
         if (ec) return done(ec);
--- a/src/net/write_all.h
+++ b/src/net/write_all.h
@@ -1,4 +1,4 @@
-// Writes on a connection that may take them a few bytes at a time.
+// Complete writes to a socket that may accept only a few bytes at a time.
 #pragma once
 
 #include <array>
@@ -9,10 +9,10 @@
 
 using WriteBuffers = std::array<boost::asio::const_buffer, 2>;
 
-// Writes all of this, and calls done from the loop, never at once; with an error if the connection breaks or
-// closes first. What the buffers point at and the socket live until then. Boost.Asio's own async_write takes
-// a short write for a full buffer and waits for room to be told, which nothing tells where the buffer was not
-// full.
+// Writes all buffers, then calls done from the event loop, never from within this call; with an error if the
+// connection breaks or closes first. The socket and the memory of the buffers must stay valid until then.
+// Boost.Asio's async_write treats a short write as a full socket buffer and waits for a writability event,
+// which never arrives if the buffer was not full.
 void write_all(boost::asio::ip::tcp::socket& socket, WriteBuffers buffers,
                std::function<void(boost::system::error_code)> done);
 
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -41,22 +41,23 @@
 using flintglade::policy::Outcome;
 using flintglade::tests::Core;
 
-// Both fronts looked at their connections many times a second, also where there were none.
-void nothing_is_due_where_nothing_is_open() {
+// Guards against timers that wake an idle process: the HTTP server and replica client must set no timer while
+// they have no connection.
+void no_timer_is_set_without_connections() {
   Core c;
   boost::asio::io_context io(1);
   http::HttpReplicaClient replica_client(io, *c.broker, c.ports, {});
   http::HttpServer front(io, *c.broker, c.ports, {{}, [] { return std::size_t{8}; }});
   CHECK(io.poll() == 0 && io.stopped());  // no timer is set
-  int rung = 0;
-  http::IdleTimer due(io, c.ports, [&rung] { ++rung; });
-  due.by(core::kNever);
-  due.by(c.ports.time + core::kSecond);
-  due.by(c.ports.time);
-  due.by(c.ports.time + 2 * core::kSecond);
+  int fired = 0;
+  http::IdleTimer timer(io, c.ports, [&fired] { ++fired; });
+  timer.fire_by(core::kNever);
+  timer.fire_by(c.ports.time + core::kSecond);
+  timer.fire_by(c.ports.time);
+  timer.fire_by(c.ports.time + 2 * core::kSecond);
   io.restart();
   io.run();
-  CHECK(rung == 1);
+  CHECK(fired == 1);
 }
 
 // The log had a thread, which woke an idle router and which the end of the process waited for.
@@ -81,34 +82,34 @@
   for (const int fd : {real, ends[0], ends[1]}) close(fd);
 }
 
-// ---- the edges
-// ----------------------------------------------------------------------------------------------
+// ---- parsing of replica and client data -----------------------------------------------------------------
 
-void events_are_whole_whatever_the_chunks() {
+void events_are_complete_for_every_chunk_size() {
   const std::string all =
       "data: {\"a\":1}\n\ndata: x\r\n\r\ndata: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\": "
       "4096}}}\n\n: note\n\ndata: [DONE]";
   for (std::size_t size = 1; size <= all.size(); ++size) {
     http::EventStream stream;
     std::string out;
-    for (std::size_t at = 0; at < all.size(); at += size) {
-      const std::string whole = stream.feed(std::string_view(all).substr(at, size));
-      CHECK(whole.empty() || whole.back() == '\n');
-      out += whole;
+    for (std::size_t offset = 0; offset < all.size(); offset += size) {
+      const std::string events = stream.feed(std::string_view(all).substr(offset, size));
+      CHECK(events.empty() || events.back() == '\n');
+      out += events;
     }
-    CHECK(out + stream.rest() == all);
+    CHECK(out + stream.finish() == all);
     CHECK(stream.cached_tokens() == 4096);
   }
 }
 
-void a_report_is_whole_or_none() {
+void a_report_with_a_missing_or_invalid_field_is_rejected() {
   const std::vector<std::string> fields = {"inflight", "qps"};
   CHECK(http::parse_report("TEXT inflight=7, max_inflight=90, qps=1.5", fields) ==
         (std::vector<float>{7.0F, 1.5F}));
-  CHECK(http::parse_report("TEXT max_inflight=9, qps=2", fields).empty());  // a name inside a longer one
-  for (const char* odd : {"", "TEXT inflight=x, qps=1", "TEXT inflight=7z, qps=1", "TEXT inflight=-3, qps=1",
-                          "TEXT inflight=nan, qps=1", "TEXT qps=1"})
-    CHECK(http::parse_report(odd, fields).empty());
+  // A field name must not match as part of a longer one.
+  CHECK(http::parse_report("TEXT max_inflight=9, qps=2", fields).empty());
+  for (const char* invalid : {"", "TEXT inflight=x, qps=1", "TEXT inflight=7z, qps=1",
+                              "TEXT inflight=-3, qps=1", "TEXT inflight=nan, qps=1", "TEXT qps=1"})
+    CHECK(http::parse_report(invalid, fields).empty());
 }
 
 void settings_are_flattened_and_checked() {
@@ -483,30 +484,32 @@
   CHECK(a.size() == 256 && b.size() == 256 && a != b);
 }
 
-void who_goes_first_in_a_crowd() {
-  using http::Client;
+void connections_are_evicted_in_order() {
   using http::ConnectionEviction;
+  using http::ConnectionState;
   constexpr Micros now = 100 * core::kSecond, ms = core::kMilli;
   struct Row {
-    Client client;
-    int order;
+    ConnectionState state;
+    int rank;
   };
   const Row rows[] = {
-      // busy, asked, half, connected, moved
-      {{true, true, false, 0, 0}, ConnectionEviction::kNobody},               // a request is open: never
-      {{false, true, false, 0, now - 90 * ms}, ConnectionEviction::kNobody},  // its answer may be on its way
-      {{false, true, false, 0, now - 110 * ms}, 0},                           // it has its answer
+      // busy, received_request, partial_request, connected_at, last_activity
+      {{true, true, false, 0, 0}, ConnectionEviction::kNotEvictable},  // a request is open
+      {{false, true, false, 0, now - 90 * ms},
+       ConnectionEviction::kNotEvictable},           // the response may still be on its way
+      {{false, true, false, 0, now - 110 * ms}, 0},  // it has received its response
       {{false, false, false, now - 240 * ms, now - 240 * ms},
-       ConnectionEviction::kNobody},  // it may be about to write
+       ConnectionEviction::kNotEvictable},  // it may be about to send a request
       {{false, false, false, now - 260 * ms, now - 260 * ms}, 1},
       {{false, false, true, now - 2000 * ms, now - 200 * ms},
-       ConnectionEviction::kNobody},  // it writes in pieces
+       ConnectionEviction::kNotEvictable},  // it sends its request in pieces
       {{false, false, true, now - 2000 * ms, now - 300 * ms}, 2},
-      {{false, true, true, 0, now - 300 * ms}, 2},  // the next request on a kept connection, stopped half-way
+      {{false, true, true, 0, now - 300 * ms}, 2},  // stalled in a later request
   };
-  for (const Row& row : rows) CHECK(ConnectionEviction::order(row.client, now) == row.order);
-  const ConnectionEviction crowd(80);
-  CHECK(!crowd.filling(40) && crowd.filling(41) && !crowd.pressing(70) && crowd.pressing(71));
+  for (const Row& row : rows) CHECK(ConnectionEviction::eviction_rank(row.state, now) == row.rank);
+  const ConnectionEviction eviction(80);
+  CHECK(!eviction.above_soft_limit(40) && eviction.above_soft_limit(41) && !eviction.above_hard_limit(70) &&
+        eviction.above_hard_limit(71));
 }
 
 void figures_are_text() {
@@ -526,9 +529,9 @@
 
 int main() {
   const std::function<void()> tests[] = {the_log_has_no_thread_and_never_waits,
-                                         nothing_is_due_where_nothing_is_open,
-                                         events_are_whole_whatever_the_chunks,
-                                         a_report_is_whole_or_none,
+                                         no_timer_is_set_without_connections,
+                                         events_are_complete_for_every_chunk_size,
+                                         a_report_with_a_missing_or_invalid_field_is_rejected,
                                          settings_are_flattened_and_checked,
                                          labels_are_checked,
                                          lists_are_read_and_odd_entries_left_out,
@@ -541,7 +544,7 @@
                                          the_highest_version_is_by_number,
                                          names_fit_into_a_header,
                                          figures_are_text,
-                                         who_goes_first_in_a_crowd,
+                                         connections_are_evicted_in_order,
                                          a_storm_of_like_lines_is_counted,
                                          savefiles_give_back_what_was_written};
   for (const auto& test : tests) test();
