--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -451,7 +451,7 @@
         if (idle && handoff) handoff->migrate_streams();
         if (broker.phase() != core::Phase::draining) return;
         broker.set_partially_read_requests(http_front.partially_read_requests());
-        if (!broker.accepts_requests()) http_front.refuse_half_read();
+        if (!broker.accepts_requests()) http_front.reject_partially_read_requests();
       },
       [&] {
         mine();
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -615,7 +615,7 @@
                     [](const auto& connection) { return connection->has_partially_read_request(); }));
 }
 
-void HttpServer::refuse_half_read() {
+void HttpServer::reject_partially_read_requests() {
   std::vector<std::shared_ptr<Connection>> incomplete;
   std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(incomplete),
                [](const auto& connection) { return connection->has_partially_read_request(); });
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -56,7 +56,7 @@
   std::size_t partially_read_requests() const;  // connections with an incomplete request
   // Answers incomplete requests with a 503 when a drain accepts no more requests; the clients may retry
   // elsewhere.
-  void refuse_half_read();
+  void reject_partially_read_requests();
   // Closes the connections without a request, which get no further ones while draining.
   void close_idle();
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -297,7 +297,7 @@
   r.core.pass_time(r.core.limits.drain_accept_window + 10 * core::kMilli);
   CHECK(!r.core.broker->accepts_requests());
   r.core.broker->set_partially_read_requests(r.front.partially_read_requests());
-  r.front.refuse_half_read();
+  r.front.reject_partially_read_requests();
   r.step();
   r.core.pass_time(r.core.limits.final_response_grace / 2);
   CHECK(r.core.broker->phase() == core::Phase::draining);  // the word is on its way
