--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -81,7 +81,7 @@
   return view(target.substr(0, target.find('?')));
 }
 
-std::string to_rpc(Request&& request, const config::Labels& labels, core::Request& out) {
+std::string to_core_request(Request&& request, const config::Labels& labels, core::Request& out) {
   out.trace_id = view(request["X-Trace-Id"]);
   if (out.trace_id.empty()) return "X-Trace-Id is missing";
   config::RequestLabels request_labels;
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -18,6 +18,6 @@
 std::string_view path_of(boost::beast::string_view target);  // without the query
 
 // Sets `out` and returns an empty string, or returns an error message for the client.
-std::string to_rpc(Request&& request, const config::Labels& labels, core::Request& out);
+std::string to_core_request(Request&& request, const config::Labels& labels, core::Request& out);
 
 }  // namespace flintglade::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -343,7 +343,7 @@
       return write();
     }
     auto core_request = std::make_shared<core::Request>();
-    const std::string error = to_rpc(std::move(request), owner_->settings_.labels, *core_request);
+    const std::string error = to_core_request(std::move(request), owner_->settings_.labels, *core_request);
     if (!error.empty()) {
       respond(400, error + "\n");
       return write();
--- a/src/pcap/reader.cpp
+++ b/src/pcap/reader.cpp
@@ -137,7 +137,7 @@
         head << request.base();
         CapturedRequest captured{at, conversation, head.str(), {}};
         if (out.requests.size() < kMostRequests &&
-            http::to_rpc(std::move(request), labels, captured.rpc).empty()) {
+            http::to_core_request(std::move(request), labels, captured.rpc).empty()) {
           out.requests.push_back(std::move(captured));
         } else {
           ++out.malformed;
