--- a/src/http/replica_client.cpp
+++ b/src/http/replica_client.cpp
@@ -111,7 +111,7 @@
   void on_connect_failed(error_code error) {
     error_code ignored;
     socket_.close(ignored);
-    if (net::is_descriptor_exhaustion(error) && owner_->shed_idle()) return connect();
+    if (net::is_descriptor_exhaustion(error) && owner_->close_longest_idle()) return connect();
     const Micros next_dial = owner_->clock_.now() + kRedialInterval;
     if (!net::is_local_resource_error(error) || next_dial >= dial_deadline_)
       return fail(Outcome::connect_failed);
@@ -387,7 +387,7 @@
     connection->assign(id, std::move(request), first_event_timeout);
     return connection->send();
   }
-  if (connections_ >= settings_.room() && !shed_idle()) {
+  if (connections_ >= settings_.room() && !close_longest_idle()) {
     return broker_.on_attempt_ended(id, Outcome::connect_failed);
   }
   const auto connection = std::make_shared<Connection>(*this, replica);
@@ -427,7 +427,7 @@
   subchannel.idle.clear();
 }
 
-bool HttpReplicaClient::shed_idle() {
+bool HttpReplicaClient::close_longest_idle() {
   Subchannel* oldest = nullptr;
   for (auto& [id, subchannel] : subchannels_) {
     if (subchannel.idle.empty()) continue;
--- a/src/http/replica_client.h
+++ b/src/http/replica_client.h
@@ -39,7 +39,7 @@
     sweep_timer_.fire_by(clock_.now());
   }
   // Frees a descriptor by closing the connection that has been idle longest. Returns false if none is idle.
-  bool shed_idle();
+  bool close_longest_idle();
   std::size_t connections() const { return connections_; }
   // Stream migration: moves the connection of an unfinished response to or from another process of this
   // router. export_stream() returns the descriptor, which stays open here until migrated_out(), and sets the
