--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -246,7 +246,7 @@
   };
   http::HttpServer http_front(io, broker, clock, {labels(config), client_room, reserved / 2});
   front = &http_front;
-  http_front.on_exhausted([&http_subchannels] { return http_subchannels.close_longest_idle(); });
+  http_front.on_descriptors_exhausted([&http_subchannels] { return http_subchannels.close_longest_idle(); });
   // One inherited socket may have two processes at it: one that starts leaves its queue to the one that
   // serves.
   const auto open = [&broker, &process_slots] {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -40,7 +40,7 @@
   std::uint16_t port() const { return port_; }
   std::size_t connections() const { return connections_.size(); }
   // Sets a function that is called when no descriptor is left, and frees one elsewhere.
-  void on_exhausted(std::function<bool()> release_descriptor) {
+  void on_descriptors_exhausted(std::function<bool()> release_descriptor) {
     release_descriptor_ = std::move(release_descriptor);
   }
   // Stream migration: moves the client connection of an unfinished response to or from another process of
