--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -233,7 +233,7 @@
   http::ReplicaClientSettings http_settings;
   http_settings.dial_timeout = config.dial_timeout;
   http_settings.conn_idle = config.conn_idle;
-  http_settings.room = [&front, shared, replica_part] {
+  http_settings.connection_limit = [&front, shared, replica_part] {
     const std::size_t all = shared();
     return std::max(replica_part(all), all - std::min(all, front->connections()));
   };
--- a/src/http/replica_client.cpp
+++ b/src/http/replica_client.cpp
@@ -387,7 +387,7 @@
     connection->assign(id, std::move(request), first_event_timeout);
     return connection->send();
   }
-  if (connections_ >= settings_.room() && !close_longest_idle()) {
+  if (connections_ >= settings_.connection_limit() && !close_longest_idle()) {
     return broker_.on_attempt_ended(id, Outcome::connect_failed);
   }
   const auto connection = std::make_shared<Connection>(*this, replica);
--- a/src/http/replica_client.h
+++ b/src/http/replica_client.h
@@ -18,8 +18,8 @@
 
 struct ReplicaClientSettings {
   core::Micros dial_timeout = 150 * core::kMilli;
-  core::Micros conn_idle = 5 * core::kSecond;  // the replica closes a connection idle for this long
-  std::function<std::size_t()> room;           // the current limit on open connections
+  core::Micros conn_idle = 5 * core::kSecond;     // the replica closes a connection idle for this long
+  std::function<std::size_t()> connection_limit;  // the current limit on open connections
 };
 
 class HttpReplicaClient final : public core::ReplicaClient {
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -551,13 +551,13 @@
 }
 
 bool HttpServer::should_shed() const {
-  return over_connection_limit() && broker_.requests_in_flight() >= settings_.room();
+  return over_connection_limit() && broker_.requests_in_flight() >= settings_.connection_limit();
 }
 // Idle connections have to be evicted, or no client can be accepted: sweeps are then made at short intervals.
 bool HttpServer::under_connection_pressure() const {
   return eviction().above_soft_limit(connections_.size()) || (!accepting_ && acceptor_.is_open());
 }
-bool HttpServer::over_connection_limit() const { return connections_.size() > settings_.room(); }
+bool HttpServer::over_connection_limit() const { return connections_.size() > settings_.connection_limit(); }
 
 // Clients may keep a connection open for any time after a request, or without sending one. The order of
 // eviction is documented in http/connection_eviction.h.
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -19,7 +19,7 @@
 
 struct ServerSettings {
   config::Labels labels;
-  std::function<std::size_t()> room;  // the current limit on client connections
+  std::function<std::size_t()> connection_limit;  // the current limit on client connections
   // Connections accepted beyond the limit, only to be answered with a 503 and Retry-After.
   std::size_t overflow_connections = 32;
 };
@@ -70,7 +70,7 @@
   bool should_shed() const;
   bool over_connection_limit() const;
   bool under_connection_pressure() const;
-  ConnectionEviction eviction() const { return ConnectionEviction(settings_.room()); }
+  ConnectionEviction eviction() const { return ConnectionEviction(settings_.connection_limit()); }
   void evict_connections(const ConnectionEviction& eviction);
 
   boost::asio::io_context& io_;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -345,7 +345,7 @@
 
 http::ReplicaClientSettings some_room() {
   http::ReplicaClientSettings out;
-  out.room = [] { return std::size_t{16}; };
+  out.connection_limit = [] { return std::size_t{16}; };
   return out;
 }
 
