--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -63,7 +63,7 @@
 }
 
 void HotRestartCoordinator::on_changes(std::size_t bytes) {
-  front_.look();
+  front_.recheck_accepting();
   const auto others = process_slots_.others();
   if (others.empty()) return snapshot_file_.remove();
   if (hot_restart::ProcessSlots::file_moved_in({change_events_.data(), bytes},
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -456,7 +456,7 @@
       [&] {
         mine();
         announced = true;
-        http_front.look();
+        http_front.recheck_accepting();
       },
       [&] {
         http_front.close_idle();
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -509,7 +509,7 @@
 void HttpServer::resume() {
   if (!accepting_ && acceptor_.is_open()) accept();
 }
-void HttpServer::look() {
+void HttpServer::recheck_accepting() {
   resume();
   if (under_connection_pressure()) sweep_timer_.fire_by(clock_.now());
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -34,7 +34,7 @@
   // returns true.
   std::string listen(int descriptor, std::function<bool()> may_accept);
   // To be called when the result of may_accept() or the connection limit may have changed.
-  void look();
+  void recheck_accepting();
   // Closes the listening socket. Accepted connections are still served.
   void stop_accepting();
   std::uint16_t port() const { return port_; }
