--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -132,7 +132,7 @@
 
 void HotRestartCoordinator::migrate_streams() {
   if (!successor_) return;
-  stream_migration_.out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
+  stream_migration_.migrate_out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
     const DescriptorPassing::SendResult result =
         DescriptorPassing::send(folder_, *successor_, bytes, descriptors);
     if (result == DescriptorPassing::SendResult::no_receiver) {
--- a/src/http/stream_migration.cpp
+++ b/src/http/stream_migration.cpp
@@ -4,7 +4,7 @@
 
 namespace flintglade::http {
 
-void StreamMigration::out(const Offer& offer) {
+void StreamMigration::migrate_out(const Offer& offer) {
   for (const core::Broker::MigratableStream& migratable : broker_.migratable_streams(core::Wire::http)) {
     hot_restart::Stream stream;
     const Descriptors fds{HttpServer::export_stream(*migratable.response_writer, stream),
--- a/src/http/stream_migration.h
+++ b/src/http/stream_migration.h
@@ -25,7 +25,7 @@
   // Offers each response that can move at this moment, and stops at the first one that is not accepted. To be
   // called only when no handler of the event loop is pending, since bytes that have already been read would
   // be lost.
-  void out(const Offer& offer);
+  void migrate_out(const Offer& offer);
   // Continues a response of another process. On any error both connections are closed, as if the other
   // process had exited.
   void in(std::string_view bytes, Descriptors descriptors);
