--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -42,7 +42,7 @@
   const absl::Status listening =
       descriptor_passing_.listen(folder_, process_slots_.slot(),
                                  [this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
-                                   stream_migration_.in(bytes, descriptors);
+                                   stream_migration_.migrate_in(bytes, descriptors);
                                  });
   if (!listening.ok())
     log::event(Level::warn, "stream_migration_unavailable",
--- a/src/http/stream_migration.cpp
+++ b/src/http/stream_migration.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-void StreamMigration::in(std::string_view bytes, Descriptors descriptors) {
+void StreamMigration::migrate_in(std::string_view bytes, Descriptors descriptors) {
   const auto [client, replica] = descriptors;
   hot_restart::Stream stream;
   if (!stream.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || stream.trace_id().empty()) {
--- a/src/http/stream_migration.h
+++ b/src/http/stream_migration.h
@@ -28,7 +28,7 @@
   void migrate_out(const Offer& offer);
   // Continues a response of another process. On any error both connections are closed, as if the other
   // process had exited.
-  void in(std::string_view bytes, Descriptors descriptors);
+  void migrate_in(std::string_view bytes, Descriptors descriptors);
 
  private:
   core::Broker& broker_;
