--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -43,12 +43,12 @@
   const absl::Status listening =
       descriptor_passing_.listen(directory_, process_slots_.slot(),
                                  [this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
-                                   stream_migration_.in(bytes, descriptors);
+                                   stream_migration_.migrate_in(bytes, descriptors);
                                  });
   if (!listening.ok())
     log::event(Level::warn, "stream_migration_unavailable",
                {{"why", std::string(listening.message())},
-                {"answers", "not migrated: they end in the process in which they started"}});
+                {"answers", "not migrated: they end migrate_in the process migrate_in which they started"}});
   if (process_slots_.change_descriptor() < 0) return;
   changes_.assign(::dup(process_slots_.change_descriptor()));
   watch_changes();
@@ -65,7 +65,7 @@
 }
 
 void HotRestartCoordinator::on_changes(std::size_t bytes) {
-  http_server_.look();
+  http_server_.recheck_accepting();
   const auto others = process_slots_.others();
   if (others.empty()) return snapshot_file_.remove();
   if (hot_restart::ProcessSlots::file_moved_in({change_events_.data(), bytes},
@@ -117,7 +117,7 @@
   if (!successor_) {
     log::event(
         Level::info, "successor_not_found",
-        {{"others", process_slots_.others().size()}, {"answers", "not migrated: they end in this process"}});
+        {{"others", process_slots_.others().size()}, {"answers", "not migrated: they end migrate_in this process"}});
     return false;
   }
   log::event(Level::info, "successor_selected", {{"slot", *successor_}});
@@ -135,13 +135,13 @@
 
 void HotRestartCoordinator::migrate_streams() {
   if (!successor_) return;
-  stream_migration_.out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
+  stream_migration_.migrate_out([this](std::string_view bytes, DescriptorPassing::Descriptors descriptors) {
     const DescriptorPassing::SendResult result =
         DescriptorPassing::send(directory_, *successor_, bytes, descriptors);
     if (result == DescriptorPassing::SendResult::no_receiver) {
       log::event(
           Level::warn, "successor_lost",
-          {{"slot", *successor_}, {"answers", "not migrated: the remaining ones end in this process"}});
+          {{"slot", *successor_}, {"answers", "not migrated: the remaining ones end migrate_in this process"}});
       successor_.reset();
     }
     return result == DescriptorPassing::SendResult::sent;
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -47,7 +47,7 @@
 // connections.
 constexpr std::size_t kSpareDescriptors = 32, kGrpcDescriptors = 64, kFleetDescriptors = 8;
 // Client and replica connections share the remaining descriptors: replica connections may always use this
-// share, and clients what the replica connections leave, less some room for new attempts. With a fixed half
+// share, and clients what the replica connections leave, less some connection_limit for new attempts. With a fixed half
 // for the clients, hundreds of idle client connections would fill it.
 constexpr double kReplicaShare = 0.28;
 constexpr int kMaxHandlersPerIteration = 512;
@@ -255,7 +255,7 @@
   http::ReplicaClientSettings http_settings;
   http_settings.dial_timeout = config.dial_timeout;
   http_settings.conn_idle = config.conn_idle;
-  http_settings.room = [&http_server_pointer, max_http_connections, replica_share] {
+  http_settings.connection_limit = [&http_server_pointer, max_http_connections, replica_share] {
     const std::size_t all = max_http_connections();
     return std::max(replica_share(all), all - std::min(all, http_server_pointer->connections()));
   };
@@ -269,7 +269,7 @@
   http::HttpServer http_server(io, broker, clock,
                                {labels(config), max_client_connections, reserved_descriptors / 2});
   http_server_pointer = &http_server;
-  http_server.on_exhausted([&http_replica_client] { return http_replica_client.shed_idle(); });
+  http_server.on_descriptors_exhausted([&http_replica_client] { return http_replica_client.close_longest_idle(); });
   // Two processes may accept from one inherited socket: a starting process leaves the clients to the one that
   // serves.
   const auto may_accept = [&broker, &process_slots] {
@@ -492,12 +492,12 @@
         if (no_handler_ready && hot_restart_coordinator) hot_restart_coordinator->migrate_streams();
         if (broker.phase() != core::Phase::draining) return;
         broker.set_partially_read_requests(http_server.partially_read_requests());
-        if (!broker.accepts_requests()) http_server.refuse_half_read();
+        if (!broker.accepts_requests()) http_server.reject_partially_read_requests();
       },
       [&] {
         publish_usage_and_get_limits();
         serving_published = true;
-        http_server.look();
+        http_server.recheck_accepting();
       },
       [&] {
         http_server.close_idle();
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -311,7 +311,7 @@
   r.core.pass_time(r.core.limits.drain_accept_window + 10 * core::kMilli);
   CHECK(!r.core.broker->accepts_requests());
   r.core.broker->set_partially_read_requests(r.server.partially_read_requests());
-  r.server.refuse_half_read();
+  r.server.reject_partially_read_requests();
   r.step();
   r.core.pass_time(r.core.limits.final_response_grace / 2);
   CHECK(r.core.broker->phase() == core::Phase::draining);  // waits for the rejection to arrive
@@ -359,7 +359,7 @@
 
 http::ReplicaClientSettings replica_client_settings() {
   http::ReplicaClientSettings settings;
-  settings.room = [] { return std::size_t{16}; };
+  settings.connection_limit = [] { return std::size_t{16}; };
   return settings;
 }
 
