--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -14,7 +14,8 @@
 
 using core::Micros;
 
-constexpr storage::FileForm kForm{"fgst", kSnapshotVersion, kMaxSnapshotBytes, "it is no state of a router"};
+constexpr storage::FileFormat kForm{"fgst", kSnapshotVersion, kMaxSnapshotBytes,
+                                    "it is no state of a router"};
 
 State::Replica encode_endpoint(const core::Endpoint& endpoint, const Origin& writer) {
   State::Replica out;
--- a/src/shared/counter_snapshot.cpp
+++ b/src/shared/counter_snapshot.cpp
@@ -8,7 +8,7 @@
 namespace flintglade::shared {
 namespace {
 
-constexpr storage::FileForm kForm{"fgsh", 1, SIZE_MAX, "it is not a counter snapshot"};
+constexpr storage::FileFormat kForm{"fgsh", 1, SIZE_MAX, "it is not a counter snapshot"};
 
 }  // namespace
 
--- a/src/storage/checksummed_file.cpp
+++ b/src/storage/checksummed_file.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::string encode_checksummed(const FileForm& form, std::string_view body) {
+std::string encode_checksummed(const FileFormat& form, std::string_view body) {
   std::string out(form.magic);
   append_little_endian(out, form.version);
   append_little_endian(out, static_cast<std::uint32_t>(body.size()));
@@ -38,7 +38,7 @@
   return out;
 }
 
-absl::StatusOr<std::string_view> decode_checksummed(const FileForm& form, std::string_view bytes) {
+absl::StatusOr<std::string_view> decode_checksummed(const FileFormat& form, std::string_view bytes) {
   if (bytes.size() < kHeaderBytes || bytes.substr(0, kMagicBytes) != form.magic) {
     return absl::InvalidArgumentError(std::string(form.not_this_form));
   }
--- a/src/storage/checksummed_file.h
+++ b/src/storage/checksummed_file.h
@@ -12,15 +12,15 @@
 
 namespace flintglade::storage {
 
-struct FileForm {
+struct FileFormat {
   std::string_view magic;  // 4 bytes
   std::uint32_t version = 1;
   std::size_t max_body_bytes = 0;
   std::string_view not_this_form;  // the error for bytes that are something else
 };
 
-std::string encode_checksummed(const FileForm& form, std::string_view body);
+std::string encode_checksummed(const FileFormat& form, std::string_view body);
 // The body, as a part of `bytes`. Not OK: one line that says what is wrong.
-absl::StatusOr<std::string_view> decode_checksummed(const FileForm& form, std::string_view bytes);
+absl::StatusOr<std::string_view> decode_checksummed(const FileFormat& form, std::string_view bytes);
 
 }  // namespace flintglade::storage
--- a/tests/storage/checksummed_file_test.cpp
+++ b/tests/storage/checksummed_file_test.cpp
@@ -7,7 +7,7 @@
 namespace flintglade::storage {
 namespace {
 
-constexpr FileForm kForm{"test", 2, 100, "it is something else"};
+constexpr FileFormat kForm{"test", 2, 100, "it is something else"};
 
 std::string error_of(const std::string& bytes) {
   return std::string(decode_checksummed(kForm, bytes).status().message());
