--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -27,7 +27,7 @@
   out.set_health(static_cast<std::uint32_t>(endpoint.replica.health));
   out.set_size(endpoint.replica.size);
   if (endpoint.replica.started_at != 0.0) {
-    out.set_born_unix_us(std::llround(endpoint.replica.started_at * 1e6) + writer.unix_less_monotonic);
+    out.set_born_unix_us(std::llround(endpoint.replica.started_at * 1e6) + writer.unix_minus_monotonic);
   }
   return out;
 }
@@ -55,7 +55,7 @@
   // By the reader's own offset, as the endpoint list will tell it: the same start must not look like another
   // one.
   if (stored.born_unix_us() != 0) {
-    out.replica.started_at = static_cast<double>(stored.born_unix_us() - reader.unix_less_monotonic) / 1e6;
+    out.replica.started_at = static_cast<double>(stored.born_unix_us() - reader.unix_minus_monotonic) / 1e6;
   }
   return out;
 }
@@ -63,7 +63,7 @@
 // Whether the reader can use what this writer left.
 absl::Status check_origin(const State& state, const Origin& reader, Micros now) {
   if (state.router() != reader.router) return absl::FailedPreconditionError("it is another router's");
-  if (std::abs(state.unix_less_monotonic_us() - reader.unix_less_monotonic) > kMaxClockStep) {
+  if (std::abs(state.unix_less_monotonic_us() - reader.unix_minus_monotonic) > kMaxClockStep) {
     return absl::FailedPreconditionError("its clock is another one");
   }
   if (state.began_us() >= reader.began) {
@@ -86,7 +86,7 @@
   state.set_discovery(writer.discovery);
   state.set_began_us(writer.began);
   state.set_written_us(now);
-  state.set_unix_less_monotonic_us(writer.unix_less_monotonic);
+  state.set_unix_less_monotonic_us(writer.unix_minus_monotonic);
   state.set_version(snapshot.version);
   for (const core::Endpoint& endpoint : snapshot.entries) {
     *state.add_replicas() = encode_endpoint(endpoint, writer);
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -18,9 +18,9 @@
 // The process that writes, or reads.
 struct Origin {
   std::string router;
-  std::string discovery;                 // ADDRESS:PORT
-  core::Micros began = 0;                // on the monotonic clock
-  core::Micros unix_less_monotonic = 0;  // Unix time less the monotonic clock, when the process began
+  std::string discovery;                  // ADDRESS:PORT
+  core::Micros began = 0;                 // on the monotonic clock
+  core::Micros unix_minus_monotonic = 0;  // Unix time less the monotonic clock, when the process began
 };
 
 inline constexpr std::uint32_t kSnapshotVersion = 1;
--- a/tests/hot_restart/snapshot_test.cpp
+++ b/tests/hot_restart/snapshot_test.cpp
@@ -38,7 +38,7 @@
     e.replica.size = some(4);
     // As the list gives it: whole milliseconds of Unix time on the writer's clock.
     const std::int64_t boot_ms = *rc::gen::inRange<std::int64_t>(1'789'999'000'000, 1'790'000'001'000);
-    e.replica.started_at = static_cast<double>(boot_ms * 1000 - kWriter.unix_less_monotonic) / 1e6;
+    e.replica.started_at = static_cast<double>(boot_ms * 1000 - kWriter.unix_minus_monotonic) / 1e6;
     if (*rc::gen::inRange(0, 3) == 0) e.replica.started_at = 0.0;
     h.entries.push_back(e);
     if (e.replica.health != flintglade::policy::Health::ready)
@@ -98,12 +98,12 @@
       RC_ASSERT(before.entries[i].address == after.entries[i].address);
       // By the reader's clock, to the bit: else the list would seem to tell of a restart.
       const double boot_us =
-          std::round(a.started_at * 1e6) + static_cast<double>(kWriter.unix_less_monotonic);
-      RC_ASSERT(b.started_at ==
-                (a.started_at == 0.0
-                     ? 0.0
-                     : static_cast<double>(static_cast<std::int64_t>(boot_us) - kReader.unix_less_monotonic) /
-                           1e6));
+          std::round(a.started_at * 1e6) + static_cast<double>(kWriter.unix_minus_monotonic);
+      RC_ASSERT(b.started_at == (a.started_at == 0.0
+                                     ? 0.0
+                                     : static_cast<double>(static_cast<std::int64_t>(boot_us) -
+                                                           kReader.unix_minus_monotonic) /
+                                           1e6));
     }
     // All the rest by writing it again.
     Broker::ProcessSnapshot again = after;
@@ -134,7 +134,7 @@
 TEST(Snapshot, IsForALaterProcessOfTheSameRouterAndMachineOnly) {
   EXPECT_EQ(refusal([](Origin&, core::Micros&) {}), "");
   EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.router = "n2"; }), "it is another router's");
-  EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.unix_less_monotonic += 60'000; }),
+  EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.unix_minus_monotonic += 60'000; }),
             "its clock is another one");
   EXPECT_EQ(refusal([](Origin& reader, core::Micros&) { reader.began = kWriter.began; }),
             "its writer is no older than this process");
--- a/tests/recordings/stored_data_test.cpp
+++ b/tests/recordings/stored_data_test.cpp
@@ -159,7 +159,7 @@
   EXPECT_NE(refusal(reader, kStateWrittenAt - 1), "");
   EXPECT_EQ(refusal(reader, kStateWrittenAt + 10 * core::kSecond), "");
   EXPECT_NE(refusal(reader, kStateWrittenAt + 10 * core::kSecond + 1), "");
-  reader.unix_less_monotonic += 50 * core::kMilli + 1;
+  reader.unix_minus_monotonic += 50 * core::kMilli + 1;
   EXPECT_NE(refusal(reader, kStateWrittenAt), "");
   reader = state_writer();
   reader.began += 1;
