--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -48,7 +48,7 @@
 }
 
 // What differs from case to case.
-struct Shape {
+struct FleetOptions {
   std::size_t replicas = 1, sites = 1;
   std::string extra;     // in each router's file, in its fleet; '@' becomes a path of that router's own
   std::string settings;  // empty: kSettings
@@ -61,8 +61,8 @@
   std::vector<std::unique_ptr<Replica>> replicas;
 
   // One link more than routers: for a process that a case starts itself.
-  Fleet(std::size_t routers, std::size_t voters, std::uint64_t seed, Shape shape = {})
-      : links(routers + 1, seed), voters_(voters), shape_(std::move(shape)) {
+  Fleet(std::size_t routers, std::size_t voters, std::uint64_t seed, FleetOptions options = {})
+      : links(routers + 1, seed), voters_(voters), shape_(std::move(options)) {
     char name[] = "/tmp/flintglade-owners-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
     folder = name;
@@ -265,7 +265,7 @@
     out << extra << "}\n";
   }
   std::size_t voters_;
-  Shape shape_;
+  FleetOptions shape_;
   int starts_ = 0;
   std::vector<std::unique_ptr<Process>> routers_;
   std::map<std::size_t, std::string> logs_;
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -104,11 +104,12 @@
 // restarted.
 void quota(std::uint64_t seed) {
   constexpr double kPerS = 50, kBurst = 100;
-  Shape shape;
-  shape.replicas = 4;
-  shape.settings = single_attempts();
-  shape.extra = "shared { routers: 8 budgets { name: \"acme-quota\" team: \"acme\" per_s: 50 burst: 100 } }";
-  Fleet fleet(8, 3, seed, shape);
+  FleetOptions options;
+  options.replicas = 4;
+  options.settings = single_attempts();
+  options.extra =
+      "shared { routers: 8 budgets { name: \"acme-quota\" team: \"acme\" per_s: 50 burst: 100 } }";
+  Fleet fleet(8, 3, seed, options);
   wait_for_allocator(fleet);
   Meter meter(fleet);
   auto load = start_loads(fleet, {90, 40, 15, 15, 10, 10, 10, 10});
@@ -162,13 +163,13 @@
 // A stock is never overspent when processes that hold leases are killed or suspended, and most of it is
 // served.
 void stock(std::uint64_t seed) {
-  Shape shape;
-  shape.replicas = 4;
-  shape.settings = single_attempts();
-  shape.extra =
+  FleetOptions options;
+  options.replicas = 4;
+  options.settings = single_attempts();
+  options.extra =
       "shared { routers: 8 budgets { name: \"acme-stock\" team: \"acme\" whole: 400 window_s: 86400 aside: "
       "0.1 } }";
-  Fleet fleet(8, 3, seed, shape);
+  Fleet fleet(8, 3, seed, options);
   wait_for_allocator(fleet);
   const auto day = [] { return std::time(nullptr) / 86400; };
   const auto first_day = day();
@@ -221,11 +222,11 @@
 // The bounds of the counts hold during partitions; afterwards all routers have the same totals, also after
 // kills and restarts.
 void counts(std::uint64_t seed) {
-  Shape shape;
-  shape.replicas = 2;
-  shape.settings = single_attempts();
-  shape.extra = "shared { routers: 8 counts: true most_per_s: 500 snapshot: \"@.counts\" }";
-  Fleet fleet(8, 3, seed, shape);
+  FleetOptions options;
+  options.replicas = 2;
+  options.settings = single_attempts();
+  options.extra = "shared { routers: 8 counts: true most_per_s: 500 snapshot: \"@.counts\" }";
+  Fleet fleet(8, 3, seed, options);
   wait_for_full_membership(fleet);
   // Lower and upper bound of the requests served, and the number of rows.
   const auto read = [&](std::size_t i) {
@@ -302,12 +303,12 @@
 // Routers that have sent no requests to a dead replica avoid it; forged reports from a single site make no
 // router avoid a healthy one.
 void health_gossip(std::uint64_t seed) {
-  Shape shape;
-  shape.replicas = 10;
-  shape.sites = 2;
-  shape.settings = single_attempts();
-  shape.extra = "shared { routers: 8 hearsay { keep_s: 3 } }";
-  Fleet fleet(8, 3, seed, shape);
+  FleetOptions options;
+  options.replicas = 10;
+  options.sites = 2;
+  options.settings = single_attempts();
+  options.extra = "shared { routers: 8 hearsay { keep_s: 3 } }";
+  Fleet fleet(8, 3, seed, options);
   wait_for_full_membership(fleet);
   auto load = start_loads(fleet, {40, 40, 40, 40, 40, 40});  // n6 and n7 get no requests, only gossip
   pause(1000);
@@ -396,11 +397,11 @@
 // A measurement, not a test: requests lost to a replica that dies, with and without health gossip, at routers
 // that send it few requests.
 void dead_replica(std::uint64_t seed, bool with_gossip) {
-  Shape shape;
-  shape.replicas = 10;
-  shape.settings = single_attempts();
-  shape.extra = std::string("shared { routers: 8 ") + (with_gossip ? "hearsay { }" : "counts: true") + " }";
-  Fleet fleet(8, 3, seed, shape);
+  FleetOptions options;
+  options.replicas = 10;
+  options.settings = single_attempts();
+  options.extra = std::string("shared { routers: 8 ") + (with_gossip ? "hearsay { }" : "counts: true") + " }";
+  Fleet fleet(8, 3, seed, options);
   wait_for_full_membership(fleet);
   auto load = start_loads(fleet, std::vector<double>(8, 12));
   pause(2000);
@@ -420,12 +421,12 @@
 // A measurement, not a test: the cost of the shared state on the serving path. Alternates between a router
 // with all of it and one without a fleet.
 void cost(std::uint64_t seed) {
-  Shape shape;
-  shape.replicas = 4;
-  shape.extra =
+  FleetOptions options;
+  options.replicas = 4;
+  options.extra =
       "shared { routers: 8 counts: true hearsay { } budgets { name: \"q\" team: \"acme\" per_s: 2000 burst: "
       "4000 } }";
-  Fleet fleet(5, 3, seed, shape);
+  Fleet fleet(5, 3, seed, options);
   wait_for_allocator(fleet);
   Process without_fleet(
       Start{g_program, {"serve"}, {{"GW_CONFIG", fleet.folder + "/n4.json"}, {"TMPDIR", fleet.folder}}, -1});
