--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -277,7 +277,7 @@
   for (int i = 0; i < 2; ++i) platform.replicas.push_back(make_replica(Protocol::http, "trickle", kEvents));
   platform.discovery.change(platform.entry(0, "Ready") + "," + platform.entry(1, "Ready"));
   auto now = platform.serving();
-  Pace pace{12, 0, 0, true, 200, kEvents};
+  LoadOptions pace{12, 0, 0, true, 200, kEvents};
   Load kept(platform.port(), pace, seed);
   pace.keep = false;
   Load fresh(platform.port(), pace, seed + 1);
--- a/tests/fleet/load.cpp
+++ b/tests/fleet/load.cpp
@@ -198,7 +198,7 @@
   int again_ms_;
 };
 
-Load::Load(unsigned short port, Pace pace, std::uint64_t seed)
+Load::Load(unsigned short port, LoadOptions pace, std::uint64_t seed)
     : to_(asio::ip::address_v4::loopback(), port), pace_(pace), random_(seed), timer_(io_) {
   asio::post(io_, [this] { next(); });
   thread_ = std::thread([this] { io_.run(); });
--- a/tests/fleet/load.h
+++ b/tests/fleet/load.h
@@ -14,7 +14,7 @@
 
 namespace flintglade::tests {
 
-struct Pace {
+struct LoadOptions {
   double per_second = 60.0;
   double slow_part = 0.0;  // of the requests, written in pieces over slow_ms
   int slow_ms = 0;
@@ -36,7 +36,7 @@
 
 class Load {
  public:
-  Load(unsigned short port, Pace pace, std::uint64_t seed);
+  Load(unsigned short port, LoadOptions pace, std::uint64_t seed);
   ~Load();
   // Connections that send just this and stay; one that is closed on comes again after again_ms (0: never).
   void crowd(int connections, const std::string& bytes, int again_ms);
@@ -51,7 +51,7 @@
 
   boost::asio::io_context io_;
   boost::asio::ip::tcp::endpoint to_;
-  Pace pace_;
+  LoadOptions pace_;
   std::mt19937_64 random_;
   boost::asio::steady_timer timer_;
   std::vector<std::shared_ptr<Request>> kept_;
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -69,9 +69,9 @@
 std::vector<std::unique_ptr<Load>> start_loads(const Fleet& fleet, const std::vector<double>& per_second) {
   std::vector<std::unique_ptr<Load>> out;
   for (std::size_t i = 0; i < per_second.size(); ++i) {
-    Pace pace;
-    pace.per_second = per_second[i];
-    out.push_back(std::make_unique<Load>(fleet.http(i), pace, i + 1));
+    LoadOptions options;
+    options.per_second = per_second[i];
+    out.push_back(std::make_unique<Load>(fleet.http(i), options, i + 1));
   }
   return out;
 }
