--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -111,7 +111,7 @@
       "%s: asked %llu served %llu refused %llu failed %llu door %llu lost %llu twice %llu, first event p50 "
       "%.1f "
       "p99 %.1f ms\n",
-      what, static_cast<unsigned long long>(e.asked()), static_cast<unsigned long long>(e.served),
+      what, static_cast<unsigned long long>(e.requests()), static_cast<unsigned long long>(e.served),
       static_cast<unsigned long long>(e.refused), static_cast<unsigned long long>(e.failed),
       static_cast<unsigned long long>(e.door), static_cast<unsigned long long>(e.lost),
       static_cast<unsigned long long>(e.twice), percentile(e.first_ms, 0.5), percentile(e.first_ms, 0.99));
@@ -197,7 +197,7 @@
   CHECK(http_status(a->port("wire=admin at=127.0.0.1:"), "/_ready") == 200);
   const LoadResults before = load.finish();
   print("beside ones that fail in their start", before);
-  CHECK(before.served == before.asked() && before.twice == 0);
+  CHECK(before.served == before.requests() && before.twice == 0);
   {  // without discovery and without a list of its own, but with what the old one leaves
     Load there_and_back(platform.port(), {80, 0, 0, false, 200}, seed + 2);
     auto b = platform.start(true);
@@ -223,7 +223,7 @@
   pause(300);
   const LoadResults after = second.finish();
   print("beside ones that are killed", after);
-  CHECK(after.twice == 0 && after.door + after.lost <= 16 && after.served + 16 >= after.asked());
+  CHECK(after.twice == 0 && after.door + after.lost <= 16 && after.served + 16 >= after.requests());
   c->signal(SIGTERM);
   Platform::gone(*c, 3700);
 }
@@ -246,7 +246,7 @@
   }
   const LoadResults ends = load.finish();
   print("without discovery", ends);
-  CHECK(ends.served == ends.asked() && ends.twice == 0);
+  CHECK(ends.served == ends.requests() && ends.twice == 0);
 }
 
 // SIGTERM meets streams in their middle, bodies half read, and hundreds that say nothing.
@@ -266,7 +266,7 @@
   Platform::gone(*a, 3700);
   const LoadResults ends = load.finish();
   print("in the middle", ends);
-  CHECK(ends.served == ends.asked() && ends.twice == 0);
+  CHECK(ends.served == ends.requests() && ends.twice == 0);
 }
 
 // Answers of some seconds move to the next process, in whatever state their bytes are: the old one has ended
@@ -346,11 +346,12 @@
   std::printf("moved %llu\n", static_cast<unsigned long long>(sums[" streams_migrated_out="]));
   CHECK(sums[" streams_migrated_out="] > 4u * static_cast<unsigned>(rounds) &&
         sums[" streams_migrated_out="] == sums[" streams_migrated_in="]);
-  CHECK(sums[" requests_served="] == a.served + b.served && sums[" requests="] == a.asked() + b.asked());
+  CHECK(sums[" requests_served="] == a.served + b.served &&
+        sums[" requests="] == a.requests() + b.requests());
   int calls = 0;
   for (const auto& r : platform.replicas) calls += r->behaviour.calls;
   CHECK(sums[" attempts_written="] == static_cast<std::uint64_t>(calls));
-  for (const LoadResults& e : {a, b}) CHECK(e.served == e.asked() && e.torn == 0 && e.twice == 0);
+  for (const LoadResults& e : {a, b}) CHECK(e.served == e.requests() && e.torn == 0 && e.twice == 0);
 }
 
 // Thousands that never finish a request, under halved limits: true requests get through, at once.
@@ -380,7 +381,7 @@
   std::printf("most descriptors %zu of 384, memory %ld MB of 40, slowest /_vars %.1f ms\n", most,
               memory / 1024, slowest_figures);
   CHECK(slowest_figures < 1000);  // its callers wait no longer
-  CHECK(static_cast<double>(ends.served) >= 0.99 * static_cast<double>(ends.asked()));
+  CHECK(static_cast<double>(ends.served) >= 0.99 * static_cast<double>(ends.requests()));
   CHECK(most <= 384);
 }
 
--- a/tests/fleet/load.h
+++ b/tests/fleet/load.h
@@ -31,7 +31,7 @@
   std::uint64_t torn = 0;        // beside that: served, and not just its events in their order
   std::uint64_t twice = 0;       // beside that: more came than one answer
   std::vector<double> first_ms;  // to the first event, of those served that were written in one piece
-  std::uint64_t asked() const { return served + refused + failed + door + lost; }
+  std::uint64_t requests() const { return served + refused + failed + door + lost; }
 };
 
 class Load {
@@ -42,7 +42,7 @@
   void crowd(int connections, const std::string& bytes, int again_ms);
   // No more requests; waits for the ends of those that are out.
   LoadResults finish();
-  std::uint64_t asked() const { return asked_; }
+  std::uint64_t requests() const { return asked_; }
 
  private:
   class Request;
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -176,7 +176,7 @@
   auto load = start_loads(fleet, {30, 15, 10, 10, 5, 5, 5, 5});
   const auto requested = [&] {
     std::uint64_t sum = 0;
-    for (const auto& client : load) sum += client->asked();
+    for (const auto& client : load) sum += client->requests();
     return sum;
   };
   // Kills a holder with leases, suspends the allocator for longer than its lease, then kills the allocator.
@@ -387,7 +387,7 @@
   std::uint64_t requested = 0, served = 0;
   for (auto& client : load) {
     const LoadResults results = client->finish();
-    requested += results.asked();
+    requested += results.requests();
     served += results.served;
   }
   std::printf("routers without requests to a dead replica avoided it after %.0f ms; %llu of %llu served\n",
@@ -410,7 +410,7 @@
   std::uint64_t requested = 0, served = 0;
   for (auto& client : load) {
     const LoadResults results = client->finish();
-    requested += results.asked();
+    requested += results.requests();
     served += results.served;
   }
   std::printf("%s: %llu of %llu requests not served\n", with_gossip ? "with health gossip" : "without",
