--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -233,7 +233,7 @@
     boost::asio::ip::udp::socket socket(io, {boost::asio::ip::udp::v4(), 0});
     send(socket, to, p);
   }
-  void sound() const {
+  void check_invariants() const {
     const Audit a = audit();
     for (const std::string& b : a.violations()) std::fprintf(stderr, "BROKEN: %s\n", b.c_str());
     CHECK(a.violations().empty());
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -30,7 +30,7 @@
   }
   std::printf("owner killed, to the next one: p50 %.0f ms, most %.0f ms (lease %d ms)\n",
               percentile(durations, 0.5), percentile(durations, 1.0), kLeaseMs);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Owners are stopped for less and for more than the duration of their lease, and continue afterwards.
@@ -61,7 +61,7 @@
   const Audit audit = fleet.audit();
   std::printf("%d stops, %zu changes of owner, %llu effects of former owners refused\n", rounds,
               owner_changes, static_cast<unsigned long long>(audit.stale_effects()));
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Cuts: the owner from the voters only, from the non-voters only, in one direction only; the voters from each
@@ -135,7 +135,7 @@
   fleet.change("Terminating");
   pause(2000);
   fleet.links.all({});
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Five voters, partitioned into two and three: the jobs continue on the side of the three, and the routers on
@@ -160,7 +160,7 @@
     fleet.links.all({});
     fleet.all_follow();
   }
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // The leader shuts down: it transfers the leadership, so that another voter leads at once.
@@ -188,7 +188,7 @@
   }
   std::printf("the leader ends, to the next one: p50 %.0f ms, most %.0f ms (elections after 300 ms)\n",
               percentile(durations, 0.5), percentile(durations, 1.0));
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // All routers are killed at once and restart; then disks are lost, finally those of a majority of the voters,
@@ -227,7 +227,7 @@
   fleet.kill(failed);
   CHECK(fleet.wait_owner(fleet.number() - 1, 10000) >= 0);
   CHECK(fleet.number() >= number);
-  fleet.sound();
+  fleet.check_invariants();
   // A damaged log file: the router reports it and runs without voting.
   const std::string record = fleet.disk(failed) + "/record.log";
   std::string bytes = contents(record);
@@ -272,7 +272,7 @@
   CHECK(fleet.command({"fleet", "status", fleet.address(3)}) == 0);
   CHECK(fleet.command({"fleet", "jobs", fleet.address(3), "--json"}) == 0);
   CHECK(fleet.command({"fleet", "voters", "127.0.0.1:1"}) == 1);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Many routers, some of which are killed each second and restart.
@@ -313,7 +313,7 @@
       fleet.size(), owners.size(), longest,
       static_cast<double>(fleet.links.forwarded_datagrams() - forwarded_before) / elapsed_s /
           static_cast<double>(fleet.size()));
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Two processes of one name: the later one replaces the earlier one, which continues without the fleet.
@@ -337,7 +337,7 @@
   CHECK(within(10000,
                [&] { return fleet.log(3).find("event=displaced_by_newer_process") != std::string::npos; }));
   CHECK(second.log().find("event=displaced_by_newer_process") == std::string::npos);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 }  // namespace
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -157,7 +157,7 @@
   // Tolerance of 0.2 s, since a request reaches its replica some time after it was admitted.
   CHECK(excess <= kBurst + kPerS / 5);
   CHECK(served_share > 0.5);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // A stock is never overspent when processes that hold leases are killed or suspended, and most of it is
