--- a/src/hot_restart/descriptor_passing.cpp
+++ b/src/hot_restart/descriptor_passing.cpp
@@ -13,14 +13,15 @@
 namespace flintglade::hot_restart {
 namespace {
 
-constexpr std::size_t kMaxBytes = 96u << 10;    // fits the usual buffer of a datagram socket
-constexpr std::size_t kMaxDescriptorsRead = 8;  // more than are ever sent: none may stay open unseen
+constexpr std::size_t kMaxBytes = 96u << 10;  // fits the default buffer of a datagram socket
+// More than are sent, so that surplus descriptors are received and closed too.
+constexpr std::size_t kMaxDescriptorsRead = 8;
 
 std::string socket_path(const std::string& folder, std::size_t slot) {
   return folder + "/flintglade.v1." + std::to_string(slot) + ".sock";
 }
 
-// False: the path is too long for a socket's address.
+// Returns false if the path is too long for a Unix socket address.
 bool make_address(const std::string& path, sockaddr_un& out) {
   out = {};
   out.sun_family = AF_UNIX;
@@ -37,7 +38,7 @@
   return absl::UnavailableError(path + ": " + std::strerror(errno));
 }
 
-// A message of one buffer with room for descriptors.
+// A msghdr with one data buffer and a control buffer for descriptors.
 struct Message {
   explicit Message(std::size_t descriptors) {
     header.msg_iov = &buffer;
@@ -50,14 +51,14 @@
   msghdr header{};
 };
 
-std::vector<net::UniqueFd> descriptors_in(msghdr& header) {
+std::vector<net::UniqueFd> received_descriptors(msghdr& header) {
   std::vector<net::UniqueFd> out;
   for (cmsghdr* control = CMSG_FIRSTHDR(&header); control != nullptr;
        control = CMSG_NXTHDR(&header, control)) {
     if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS) continue;
-    for (std::size_t at = CMSG_LEN(0); at + sizeof(int) <= control->cmsg_len; at += sizeof(int)) {
+    for (std::size_t offset = CMSG_LEN(0); offset + sizeof(int) <= control->cmsg_len; offset += sizeof(int)) {
       int fd = -1;
-      std::memcpy(&fd, reinterpret_cast<const char*>(control) + at, sizeof fd);
+      std::memcpy(&fd, reinterpret_cast<const char*>(control) + offset, sizeof fd);
       out.emplace_back(fd);
     }
   }
@@ -82,11 +83,11 @@
   const std::string path = socket_path(folder, slot);
   sockaddr_un address;
   if (!make_address(path, address)) {
-    return absl::InvalidArgumentError(path + " is too long for a socket's name");
+    return absl::InvalidArgumentError(path + ": path is too long for a Unix socket address");
   }
   net::UniqueFd socket = datagram_socket();
   if (!socket) return system_error(path);
-  ::unlink(path.c_str());  // the slot is ours: what stands there is a dead process's
+  ::unlink(path.c_str());  // left by a dead process, since this process holds the slot
   if (::bind(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     return system_error(path);
   }
@@ -94,15 +95,15 @@
   on_received_ = std::move(on_received);
   buffer_.resize(kMaxBytes);
   socket_.assign(socket.release());
-  wait();
+  wait_until_readable();
   return absl::OkStatus();
 }
 
-void DescriptorPassing::wait() {
+void DescriptorPassing::wait_until_readable() {
   socket_.async_wait(boost::asio::posix::descriptor_base::wait_read, [this](boost::system::error_code ec) {
     if (ec) return;
     receive();
-    wait();
+    wait_until_readable();
   });
 }
 
@@ -112,7 +113,7 @@
     message.buffer = {buffer_.data(), buffer_.size()};
     const ssize_t size = ::recvmsg(socket_.native_handle(), &message.header, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
     if (size < 0) return;
-    std::vector<net::UniqueFd> descriptors = descriptors_in(message.header);
+    std::vector<net::UniqueFd> descriptors = received_descriptors(message.header);
     const bool truncated = (message.header.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0;
     if (descriptors.size() != std::tuple_size_v<Descriptors> || truncated) continue;
     on_received_({buffer_.data(), static_cast<std::size_t>(size)},
--- a/src/hot_restart/descriptor_passing.h
+++ b/src/hot_restart/descriptor_passing.h
@@ -1,10 +1,10 @@
-// Passes open connections from one process of a router to another: a datagram socket in the scratch folder
-// for each process slot, and descriptors that travel with a few bytes (SCM_RIGHTS, unix(7)). The peers of a
-// connection notice nothing.
+// Passes open connections from one process of a router to another. Each process slot has a datagram socket in
+// the scratch folder; descriptors are sent to it together with a short message (SCM_RIGHTS, unix(7)). The
+// peers of a connection do not notice the change.
 //
-// The socket's name holds the version of what is sent: a process of another version does not listen there,
-// and nothing is passed between the two. What was sent and not read when its receiver dies is closed by the
-// kernel. One thread, the loop's; nothing here blocks.
+// The file name of the socket contains the version of the message format, so processes of different versions
+// pass nothing to each other. If the receiver dies before it has read a message, the kernel closes the
+// descriptors in it. Runs on the event loop's thread; no call blocks.
 #pragma once
 
 #include <array>
@@ -27,8 +27,8 @@
   using OnReceived = std::function<void(std::string_view bytes, Descriptors descriptors)>;
   enum class SendResult : std::uint8_t {
     sent,         // the receiver has copies of the descriptors; the sender's stay its own
-    queue_full,   // to be tried again
-    no_receiver,  // nobody listens at that slot, or there are too many bytes
+    queue_full,   // try again later
+    no_receiver,  // no process listens at that slot, or the message is too large
   };
 
   explicit DescriptorPassing(boost::asio::io_context& io) : socket_(io) {}
@@ -36,19 +36,19 @@
   DescriptorPassing(const DescriptorPassing&) = delete;
   DescriptorPassing& operator=(const DescriptorPassing&) = delete;
 
-  // Listens as the holder of this slot. Not OK: one line that says why nothing will be received; sending
-  // still works.
+  // Listens at the socket of this process's slot. On an error, nothing will be received, and the message (one
+  // line) gives the reason; send() still works.
   absl::Status listen(const std::string& folder, std::size_t slot, OnReceived on_received);
   static SendResult send(const std::string& folder, std::size_t slot, std::string_view bytes,
                          Descriptors descriptors);
 
  private:
-  void wait();
-  // Reads all that has come.
+  void wait_until_readable();
+  // Reads all messages that are queued.
   void receive();
 
   boost::asio::posix::stream_descriptor socket_;
-  std::string path_;  // of our socket; empty: none
+  std::string path_;  // of this process's socket; empty: not listening
   OnReceived on_received_;
   std::vector<char> buffer_;
 };
--- a/src/hot_restart/learned_state_codec.cpp
+++ b/src/hot_restart/learned_state_codec.cpp
@@ -6,12 +6,12 @@
 namespace flintglade::hot_restart {
 namespace {
 
-constexpr double kMaxNumber = 1e15;          // larger ones lose the precision of sums
-constexpr double kMaxRelativeLatency = 1e6;  // as parts of the latency objective
+constexpr double kMaxNumber = 1e15;          // sums of larger numbers lose precision
+constexpr double kMaxRelativeLatency = 1e6;  // in multiples of the latency objective
 constexpr double kMaxPrefixWidening = 1000.0;
 
-// The functions below say once which field is which, for both ways: `io` is an Encoder or a Decoder, whose
-// field() writes the value into the message or reads it from there.
+// Each convert() lists the fields of one type once, for both directions: `io` is an Encoder, whose field()
+// stores the value in the message, or a Decoder, whose field() loads it from the message.
 struct Encoder {
   template <typename Message, typename Getter, typename Setter, typename Value>
   void field(Message& message, Getter, Setter setter, Value& value) const {
@@ -80,7 +80,7 @@
   FLINTGLADE_FIELD(State::Prefix, replicas, prefix.replicas);
 }
 
-// All but the tables.
+// Everything except the tables.
 template <typename Io, typename Message>
 void convert(Io& io, Message& message, policy::LearnedState& learned) {
   FLINTGLADE_FIELD(State::Learned, started, learned.started_at);
@@ -120,7 +120,7 @@
     io.require(kind.live_top() >= 0.0 && kind.live_top() < kMaxNumber);
     io.require(cost.seconds_per_token >= 0.0 &&
                in_range(cost.samples, 0.0, policy::PrefillCost::kMaxSamples));
-    io.require(cost.samples == 0.0 || cost.seconds_per_token > 0.0);  // its logarithm is taken
+    io.require(cost.samples == 0.0 || cost.seconds_per_token > 0.0);  // the balancer takes its logarithm
   }
 }
 
@@ -143,9 +143,9 @@
 }
 
 void decode_replicas(Decoder& io, State::Learned& message, policy::LearnedState& learned) {
-  for (State::Known& known : *message.mutable_replicas()) {
-    policy::ReplicaStatistics& replica = learned.replicas[known.id()];
-    convert(io, known, replica);
+  for (State::Known& stored : *message.mutable_replicas()) {
+    policy::ReplicaStatistics& replica = learned.replicas[stored.id()];
+    convert(io, stored, replica);
     io.require(in_range(replica.health, 0.0, 1.0) && replica.consecutive_connect_failures >= 0);
   }
 }
@@ -164,31 +164,31 @@
     kind.set_live_top(largest == learned.largest_live_size.end() ? 0.0 : largest->second);
   }
   for (auto& [id, zone] : learned.zones) {
-    State::Zone& to = *message.add_zones();
-    to.set_id(id);
-    convert(io, to, zone);
+    State::Zone& stored = *message.add_zones();
+    stored.set_id(id);
+    convert(io, stored, zone);
   }
   for (auto& [id, prefix] : learned.prefixes) {
     if (message.prefixes_size() == kMaxSnapshotPrefixes) break;
-    State::Prefix& to = *message.add_prefixes();
-    to.set_id(id);
-    convert(io, to, prefix);
+    State::Prefix& stored = *message.add_prefixes();
+    stored.set_id(id);
+    convert(io, stored, prefix);
   }
   for (std::size_t i = 0; i < learned.first_event_latency.size(); ++i) {
-    State::Class& to = *message.add_classes();
-    to.set_wait_mean(learned.first_event_latency[i].mean);
-    to.set_wait_spread(learned.first_event_latency[i].mean_deviation);
-    to.set_work(learned.mean_class_work[i]);
+    State::Class& stored = *message.add_classes();
+    stored.set_wait_mean(learned.first_event_latency[i].mean);
+    stored.set_wait_spread(learned.first_event_latency[i].mean_deviation);
+    stored.set_work(learned.mean_class_work[i]);
   }
   for (std::size_t i = 0; i < learned.quota_updated_at.size(); ++i) {
-    State::Tenant& to = *message.add_tenants();
-    to.set_tokens(learned.quota_tokens[i]);
-    to.set_at(learned.quota_updated_at[i]);
+    State::Tenant& stored = *message.add_tenants();
+    stored.set_tokens(learned.quota_tokens[i]);
+    stored.set_at(learned.quota_updated_at[i]);
   }
   for (auto& [id, replica] : learned.replicas) {
-    State::Known& to = *message.add_replicas();
-    to.set_id(id);
-    convert(io, to, replica);
+    State::Known& stored = *message.add_replicas();
+    stored.set_id(id);
+    convert(io, stored, replica);
   }
   message.mutable_slots()->Add(learned.slots.begin(), learned.slots.end());
   message.mutable_own_slots()->Add(learned.own_zone_slots.begin(), learned.own_zone_slots.end());
--- a/src/hot_restart/learned_state_codec.h
+++ b/src/hot_restart/learned_state_codec.h
@@ -1,4 +1,4 @@
-// What the decision module has learned, as a message and back. No I/O.
+// Converts what the decision module has learned to and from the State.Learned message. No I/O.
 #pragma once
 
 #include "hot_restart.pb.h"
@@ -6,14 +6,14 @@
 
 namespace flintglade::hot_restart {
 
-// Larger tables are not written, and not accepted.
+// Tables with more entries are rejected when decoded; surplus prefixes are already left out when encoded.
 inline constexpr int kMaxSnapshotReplicas = 4096;
 inline constexpr int kMaxSnapshotPrefixes = 8192;
-inline constexpr int kMaxSnapshotKinds = 256;  // of machines, and of zones
+inline constexpr int kMaxSnapshotKinds = 256;  // of machine kinds, and of zones
 
 void encode_learned_state(policy::LearnedState learned, State::Learned& message);
-// False: the message holds numbers that the decision module's arithmetic does not hold for, or too many
-// entries.
+// Returns false if a table has too many entries, or a number is outside the range that the decision module's
+// arithmetic supports.
 bool decode_learned_state(State::Learned& message, policy::LearnedState& learned);
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/limit_partition.cpp
+++ b/src/hot_restart/limit_partition.cpp
@@ -7,7 +7,7 @@
 
 std::size_t remaining(std::size_t limit, std::size_t used) { return limit - std::min(limit, used); }
 
-// What a starting process is about to take is counted before it has it.
+// A starting process is counted with the descriptors that it is about to open.
 std::size_t expected_descriptors(const ProcessUsage& usage) {
   const bool starting = usage.stage == ProcessStage::starting;
   const std::size_t used =
@@ -17,21 +17,23 @@
 
 }  // namespace
 
-ProcessLimits partition_limits(const ProcessLimits& router, const ProcessUsage& self,
+ProcessLimits partition_limits(const ProcessLimits& router_limits, const ProcessUsage& self,
                                std::span<const ProcessUsage> others) {
-  if (others.empty()) return {remaining(router.descriptors, kStartReserveDescriptors), router.body_bytes};
+  if (others.empty()) {
+    return {remaining(router_limits.descriptors, kStartReserveDescriptors), router_limits.body_bytes};
+  }
   ProcessLimits used;
-  bool one_starts = false;
+  bool another_is_starting = false;
   for (const ProcessUsage& other : others) {
     used.descriptors += expected_descriptors(other);
     used.body_bytes += other.body_bytes;
-    one_starts = one_starts || other.stage == ProcessStage::starting;
+    another_is_starting = another_is_starting || other.stage == ProcessStage::starting;
   }
-  ProcessLimits limits{remaining(router.descriptors, used.descriptors),
-                       remaining(router.body_bytes, used.body_bytes)};
-  if (self.stage == ProcessStage::serving && one_starts) {
-    limits.descriptors = std::min(limits.descriptors, router.descriptors / 2);
-    limits.body_bytes = std::min(limits.body_bytes, router.body_bytes / 2);
+  ProcessLimits limits{remaining(router_limits.descriptors, used.descriptors),
+                       remaining(router_limits.body_bytes, used.body_bytes)};
+  if (self.stage == ProcessStage::serving && another_is_starting) {
+    limits.descriptors = std::min(limits.descriptors, router_limits.descriptors / 2);
+    limits.body_bytes = std::min(limits.body_bytes, router_limits.body_bytes / 2);
   }
   return limits;
 }
--- a/src/hot_restart/limit_partition.h
+++ b/src/hot_restart/limit_partition.h
@@ -1,7 +1,8 @@
 // How processes of one router share its limits on descriptors and memory during a hot restart.
 //
-// Two processes (three, if one starts while two run) stand for one router, and the operator's limits see one.
-// Each publishes what it uses (process_slots.h) and reads what the others use. No clock, no I/O.
+// During a hot restart a router consists of two processes (three, if one starts while two run), and the
+// operator's limits apply to their sum. Each process publishes its usage and reads that of the others
+// (process_slots.h). No clock, no I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,8 +18,8 @@
   ProcessStage stage = ProcessStage::starting;
   std::size_t descriptors = 0;
   std::size_t body_bytes = 0;    // of request bodies
-  std::size_t slot = 0;          // of the process
-  std::uint64_t join_order = 0;  // among all that ever took a slot: later ones have higher numbers
+  std::size_t slot = 0;          // of this process
+  std::uint64_t join_order = 0;  // a process that took its slot later has a higher number
 };
 
 struct ProcessLimits {
@@ -26,17 +27,17 @@
   std::size_t body_bytes = 0;
 };
 
-// Descriptors that a process always leaves free, so that another one can start beside it: its loop, its
-// listeners and the watch take 14.
+// Descriptors that a process always leaves free, so that another process can start beside it: the event loop,
+// listeners and watch of the new process need 14.
 inline constexpr std::size_t kStartReserveDescriptors = 24;
-// And for each other process, what it may have taken since it published its usage.
+// Descriptors that each other process may have opened since it last published its usage.
 inline constexpr std::size_t kUsageSlackDescriptors = 8;
 
-// What this process may hold now. router: the limits of the whole router. A process that is alone may hold
-// all but kStartReserveDescriptors; otherwise, what the others leave. A serving process beside which one
-// starts gives way to half, so that the new one finds room when it serves; a draining one takes up no more
-// than it has, and no less.
-ProcessLimits partition_limits(const ProcessLimits& router, const ProcessUsage& self,
+// Returns the limits of this process now. router_limits: those of the whole router. A process that is alone
+// may use everything except kStartReserveDescriptors; otherwise, what the others have left. While another
+// process starts, a serving process is limited to half of the router's limits, so that the new one has room
+// when it begins to serve; a draining one takes up nothing new and keeps what it has.
+ProcessLimits partition_limits(const ProcessLimits& router_limits, const ProcessUsage& self,
                                std::span<const ProcessUsage> others);
 
 }  // namespace flintglade::hot_restart
--- a/src/hot_restart/process_slots.cpp
+++ b/src/hot_restart/process_slots.cpp
@@ -19,18 +19,19 @@
 
 constexpr char kFileName[] = "/flintglade.seats";
 constexpr std::uint32_t kMagic = 0x73746673, kVersion = 1;
-// Locked bytes lie beyond any page, whatever its version: they are names, not data. One for each slot, and
-// the door, which is held while a process looks at the form and takes a slot.
-constexpr off_t kSlotLocks = 1 << 20;
-constexpr off_t kDoorLock = kSlotLocks + ProcessSlots::kMaxProcesses;
-constexpr int kDoorAttempts = 50;
-constexpr useconds_t kDoorRetryMicros = 2000;
-
-struct flock lock_at(off_t at, short type) {
+// Offsets of the locked bytes. They lie beyond the data of every version of the file and hold no data
+// themselves: one for each slot, and the join lock, which a process holds while it checks the file's format
+// and takes a slot.
+constexpr off_t kFirstSlotLock = 1 << 20;
+constexpr off_t kJoinLock = kFirstSlotLock + ProcessSlots::kMaxProcesses;
+constexpr int kJoinLockAttempts = 50;
+constexpr useconds_t kJoinLockRetryMicros = 2000;
+
+struct flock lock_at(off_t offset, short type) {
   struct flock lock {};
   lock.l_type = type;
   lock.l_whence = SEEK_SET;
-  lock.l_start = at;
+  lock.l_start = offset;
   lock.l_len = 1;
   return lock;
 }
@@ -52,7 +53,7 @@
 
 }  // namespace
 
-// The layouts are stored: other processes read them.
+// The layouts of Slot and Page are the file format, which other processes read.
 struct alignas(64) ProcessSlots::Slot {
   std::atomic<std::uint32_t> taken, stage;
   std::atomic<std::uint64_t> descriptors, body_bytes, join_order;
@@ -69,17 +70,17 @@
   release();
 }
 
-// Locks go with the open file, which a mapping holds open too: a process without a slot keeps nobody from
-// theirs.
+// Unmaps the file too, because a mapping keeps the open file and thereby its locks: a process that failed to
+// join must not block the others with the join lock.
 void ProcessSlots::release() {
   if (page_ != nullptr) ::munmap(std::exchange(page_, nullptr), sizeof(Page));
   file_.reset();
 }
 
-// Locks belong to the open file, not to the process: closing another descriptor of the file does not release
-// them.
+// Uses open file description locks (F_OFD_*), which belong to the open file and not to the process: closing
+// another descriptor of the same file does not release them.
 bool ProcessSlots::is_held(std::size_t slot) const {
-  struct flock lock = lock_at(kSlotLocks + static_cast<off_t>(slot), F_WRLCK);
+  struct flock lock = lock_at(kFirstSlotLock + static_cast<off_t>(slot), F_WRLCK);
   return ::fcntl(file_.get(), F_OFD_GETLK, &lock) != 0 || lock.l_type != F_UNLCK;
 }
 
@@ -90,39 +91,45 @@
 }
 
 absl::Status ProcessSlots::join(const std::string& folder, const std::string& router) {
-  if (folder.empty()) return absl::FailedPreconditionError("TMPDIR names no folder");
+  if (folder.empty()) return absl::FailedPreconditionError("TMPDIR is not set");
   const std::string path = folder + kFileName;
   file_.reset(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   if (!file_) return system_error(path);
-  absl::Status taken = take_slot(folder, path, router);
-  if (!taken.ok()) release();
-  return taken;
-}
-
-absl::Status ProcessSlots::lock_door(const std::string& path) const {
-  struct flock door = lock_at(kDoorLock, F_WRLCK);
-  for (int attempt = 0; ::fcntl(file_.get(), F_OFD_SETLK, &door) != 0; ++attempt) {
-    if (attempt == kDoorAttempts) return absl::UnavailableError(path + " is locked");
-    ::usleep(kDoorRetryMicros);
+  absl::Status status = take_slot(folder, path, router);
+  if (!status.ok()) release();
+  return status;
+}
+
+absl::Status ProcessSlots::acquire_join_lock(const std::string& path) const {
+  struct flock lock = lock_at(kJoinLock, F_WRLCK);
+  for (int attempt = 0; ::fcntl(file_.get(), F_OFD_SETLK, &lock) != 0; ++attempt) {
+    if (attempt == kJoinLockAttempts) {
+      return absl::UnavailableError(path + ": another process holds the join lock");
+    }
+    ::usleep(kJoinLockRetryMicros);
   }
   return absl::OkStatus();
 }
 
-void ProcessSlots::unlock_door() const {
-  struct flock door = lock_at(kDoorLock, F_UNLCK);
-  ::fcntl(file_.get(), F_OFD_SETLK, &door);
+void ProcessSlots::release_join_lock() const {
+  struct flock lock = lock_at(kJoinLock, F_UNLCK);
+  ::fcntl(file_.get(), F_OFD_SETLK, &lock);
 }
 
-// Where it fails, the door is released with the file.
+// On an error, the caller closes the file, which releases the join lock.
 absl::Status ProcessSlots::take_slot(const std::string& folder, const std::string& path,
                                      const std::string& router) {
-  if (absl::Status locked = lock_door(path); !locked.ok()) return locked;
+  if (absl::Status locked = acquire_join_lock(path); !locked.ok()) return locked;
   if (absl::Status mapped = map_page(path, router); !mapped.ok()) return mapped;
-  if (!lock_free_slot()) return absl::ResourceExhaustedError(path + ": every seat is taken");
+  if (!lock_free_slot()) {
+    return absl::ResourceExhaustedError(path + ": all " + std::to_string(kMaxProcesses) +
+                                        " process slots are taken");
+  }
   initialize_slot();
   watch_changes(folder, path);
-  unlock_door();
-  // The others are woken by the file being opened, and when it was opened first the slot was not taken yet.
+  release_join_lock();
+  // Opening the file wakes the other processes (inotify). When join() opened it, the slot was not taken yet,
+  // so it is opened once more.
   net::UniqueFd(::open(path.c_str(), O_RDWR | O_CLOEXEC)).reset();
   return absl::OkStatus();
 }
@@ -130,9 +137,10 @@
 absl::Status ProcessSlots::map_page(const std::string& path, const std::string& router) {
   const bool in_use = any_held();
   struct stat info {};
-  const bool sized = ::fstat(file_.get(), &info) == 0 && info.st_size == static_cast<off_t>(sizeof(Page));
-  if (!sized && in_use) return absl::FailedPreconditionError(path + " is in use in another form");
-  if (!sized && (::ftruncate(file_.get(), 0) != 0 || ::ftruncate(file_.get(), sizeof(Page)) != 0)) {
+  const bool has_page_size =
+      ::fstat(file_.get(), &info) == 0 && info.st_size == static_cast<off_t>(sizeof(Page));
+  if (!has_page_size && in_use) return absl::FailedPreconditionError(path + " is in use in another format");
+  if (!has_page_size && (::ftruncate(file_.get(), 0) != 0 || ::ftruncate(file_.get(), sizeof(Page)) != 0)) {
     return system_error(path);
   }
   void* mapped = ::mmap(nullptr, sizeof(Page), PROT_READ | PROT_WRITE, MAP_SHARED, file_.get(), 0);
@@ -143,7 +151,7 @@
     return absl::OkStatus();
   }
   if (in_use) {
-    return absl::FailedPreconditionError(path + " is in use in another form, or for another router");
+    return absl::FailedPreconditionError(path + " is in use in another format, or for another router");
   }
   std::memset(mapped, 0, sizeof(Page));
   page_->magic = kMagic;
@@ -154,7 +162,7 @@
 
 bool ProcessSlots::lock_free_slot() {
   for (std::size_t slot = 0; slot < kMaxProcesses; ++slot) {
-    struct flock lock = lock_at(kSlotLocks + static_cast<off_t>(slot), F_WRLCK);
+    struct flock lock = lock_at(kFirstSlotLock + static_cast<off_t>(slot), F_WRLCK);
     if (::fcntl(file_.get(), F_OFD_SETLK, &lock) != 0) continue;
     own_slot_ = static_cast<int>(slot);
     return true;
@@ -163,14 +171,14 @@
 }
 
 void ProcessSlots::initialize_slot() {
-  // Slots of the dead are freed: as long as they look taken, others() asks the kernel for each.
+  // Frees the slots of dead processes: others() makes a system call for each slot marked as taken.
   for (std::size_t slot = 0; slot < kMaxProcesses; ++slot) {
     if (!is_held(slot)) page_->slots[slot].taken = 0;
   }
   publish({});
-  std::uint64_t last = 0;
-  for (const Slot& slot : page_->slots) last = std::max(last, slot.join_order.load());
-  page_->slots[own_slot_].join_order = last + 1;
+  std::uint64_t last_join_order = 0;
+  for (const Slot& slot : page_->slots) last_join_order = std::max(last_join_order, slot.join_order.load());
+  page_->slots[own_slot_].join_order = last_join_order + 1;
   page_->slots[own_slot_].taken = 1;
 }
 
@@ -182,12 +190,12 @@
 }
 
 bool ProcessSlots::file_moved_in(std::string_view events, std::string_view name) {
-  for (std::size_t at = 0; at + sizeof(inotify_event) <= events.size();) {
+  for (std::size_t offset = 0; offset + sizeof(inotify_event) <= events.size();) {
     inotify_event event;
-    std::memcpy(&event, events.data() + at, sizeof event);
-    at += sizeof event + event.len;
-    if (at > events.size() || (event.mask & IN_MOVED_TO) == 0) continue;
-    if (name == events.data() + at - event.len) return true;  // the name is padded with zeros
+    std::memcpy(&event, events.data() + offset, sizeof event);
+    offset += sizeof event + event.len;
+    if (offset > events.size() || (event.mask & IN_MOVED_TO) == 0) continue;
+    if (name == events.data() + offset - event.len) return true;  // the name is padded with zeros
   }
   return false;
 }
--- a/src/hot_restart/snapshot.cpp
+++ b/src/hot_restart/snapshot.cpp
@@ -14,8 +14,8 @@
 
 using core::Micros;
 
-constexpr storage::FileFormat kForm{"fgst", kSnapshotVersion, kMaxSnapshotBytes,
-                                    "it is no state of a router"};
+constexpr storage::FileFormat kFileFormat{"fgst", kSnapshotVersion, kMaxSnapshotBytes,
+                                          "not a router state file"};
 
 State::Replica encode_endpoint(const core::Endpoint& endpoint, const Origin& writer) {
   State::Replica out;
@@ -52,28 +52,34 @@
   out.replica.cell = stored.cell();
   out.replica.health = health_of(stored.health());
   out.replica.size = stored.size();
-  // By the reader's own offset, as the endpoint list will tell it: the same start must not look like another
-  // one.
+  // Converted with the reader's clock offset, as for start times in the reader's own endpoint list: otherwise
+  // the same start time would look like a restart of the replica.
   if (stored.born_unix_us() != 0) {
     out.replica.started_at = static_cast<double>(stored.born_unix_us() - reader.unix_minus_monotonic) / 1e6;
   }
   return out;
 }
 
-// Whether the reader can use what this writer left.
+// Returns an error if the reader cannot use a snapshot of this writer.
 absl::Status check_origin(const State& state, const Origin& reader, Micros now) {
-  if (state.router() != reader.router) return absl::FailedPreconditionError("it is another router's");
-  if (std::abs(state.unix_less_monotonic_us() - reader.unix_minus_monotonic) > kMaxClockStep) {
-    return absl::FailedPreconditionError("its clock is another one");
+  if (state.router() != reader.router) {
+    return absl::FailedPreconditionError("written by another router: " + state.router());
+  }
+  const Micros clock_step = std::abs(state.unix_less_monotonic_us() - reader.unix_minus_monotonic);
+  if (clock_step > kMaxClockStep) {
+    return absl::FailedPreconditionError("clock offset differs by " + std::to_string(clock_step) +
+                                         " us (at most " + std::to_string(kMaxClockStep) +
+                                         "): other boot, other machine, or the clock was set");
   }
   if (state.began_us() >= reader.began) {
-    return absl::AlreadyExistsError("its writer is no older than this process");
+    return absl::AlreadyExistsError("written by a process that did not start before this one");
   }
   if (state.written_us() > now || now - state.written_us() > kMaxSnapshotAge) {
-    return absl::OutOfRangeError("it is old");
+    return absl::OutOfRangeError("written in the future or more than " +
+                                 std::to_string(kMaxSnapshotAge / core::kSecond) + " s ago");
   }
   if (state.replicas_size() > kMaxSnapshotReplicas || state.retired_size() > kMaxSnapshotReplicas) {
-    return absl::ResourceExhaustedError("it is too large");
+    return absl::ResourceExhaustedError("more than " + std::to_string(kMaxSnapshotReplicas) + " replicas");
   }
   return absl::OkStatus();
 }
@@ -98,15 +104,15 @@
     out.set_version(retired.version);
   }
   encode_learned_state(snapshot.learned, *state.mutable_learned());
-  return storage::encode_checksummed(kForm, state.SerializeAsString());
+  return storage::encode_checksummed(kFileFormat, state.SerializeAsString());
 }
 
 absl::StatusOr<DecodedSnapshot> decode_snapshot(std::string_view bytes, const Origin& reader, Micros now) {
-  const auto body = storage::decode_checksummed(kForm, bytes);
+  const auto body = storage::decode_checksummed(kFileFormat, bytes);
   if (!body.ok()) return body.status();
   State state;
   if (!state.ParseFromArray(body->data(), static_cast<int>(body->size()))) {
-    return absl::DataLossError("it cannot be read");
+    return absl::DataLossError("body is not a valid State message");
   }
   if (absl::Status usable = check_origin(state, reader, now); !usable.ok()) return usable;
   DecodedSnapshot decoded;
@@ -120,7 +126,7 @@
         {stored.replica(), std::min(stored.since_us(), now), stored.version()});
   }
   if (!decode_learned_state(*state.mutable_learned(), decoded.snapshot.learned)) {
-    return absl::InvalidArgumentError("it holds numbers that cannot be");
+    return absl::InvalidArgumentError("learned state has too many entries or a number out of range");
   }
   return decoded;
 }
--- a/src/hot_restart/snapshot_file.cpp
+++ b/src/hot_restart/snapshot_file.cpp
@@ -23,19 +23,20 @@
 absl::Status write_bytes(const std::string& path, const std::string& bytes) {
   const net::UniqueFd file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
   if (!file) return system_error(path);
-  for (std::size_t at = 0; at < bytes.size();) {
-    const ssize_t written = ::write(file.get(), bytes.data() + at, bytes.size() - at);
+  for (std::size_t offset = 0; offset < bytes.size();) {
+    const ssize_t written = ::write(file.get(), bytes.data() + offset, bytes.size() - offset);
     if (written < 0 && errno == EINTR) continue;
     if (written <= 0) return system_error(path);
-    at += static_cast<std::size_t>(written);
+    offset += static_cast<std::size_t>(written);
   }
   return absl::OkStatus();
 }
 
-absl::Status replace_file(const std::string& draft, const std::string& path, const std::string& bytes) {
-  absl::Status status = write_bytes(draft, bytes);
-  if (status.ok() && ::rename(draft.c_str(), path.c_str()) != 0) status = system_error(path);
-  if (!status.ok()) ::unlink(draft.c_str());
+absl::Status replace_file(const std::string& temporary_path, const std::string& path,
+                          const std::string& bytes) {
+  absl::Status status = write_bytes(temporary_path, bytes);
+  if (status.ok() && ::rename(temporary_path.c_str(), path.c_str()) != 0) status = system_error(path);
+  if (!status.ok()) ::unlink(temporary_path.c_str());
   return status;
 }
 
@@ -55,16 +56,16 @@
 }  // namespace
 
 SnapshotFile::SnapshotFile(boost::asio::io_context& io, std::string folder, std::size_t slot)
-    : io_(io), path_(std::move(folder) + "/" + kName), draft_path_(path_ + "." + std::to_string(slot)) {
-  // Of a dead process that held this slot.
-  boost::asio::post(thread_, [draft = draft_path_] { ::unlink(draft.c_str()); });
+    : io_(io), path_(std::move(folder) + "/" + kName), temporary_path_(path_ + "." + std::to_string(slot)) {
+  // May be left by a dead process that held this slot.
+  boost::asio::post(thread_, [temporary_path = temporary_path_] { ::unlink(temporary_path.c_str()); });
 }
 
 SnapshotFile::~SnapshotFile() { thread_.join(); }
 
 void SnapshotFile::save(std::string bytes, std::function<void(const absl::Status&)> done) {
   boost::asio::post(thread_, [this, bytes = std::move(bytes), done = std::move(done)] {
-    boost::asio::post(io_, [done, status = replace_file(draft_path_, path_, bytes)] { done(status); });
+    boost::asio::post(io_, [done, status = replace_file(temporary_path_, path_, bytes)] { done(status); });
   });
 }
 
--- a/src/hot_restart/snapshot_file.h
+++ b/src/hot_restart/snapshot_file.h
@@ -1,7 +1,8 @@
-// The file in the scratch folder in which a process leaves its snapshot for the next one.
+// The file in the scratch folder through which a process passes its snapshot to its successor.
 //
-// Reading and writing are done by a thread of its own, since a folder may be slow and the loop may not wait;
-// results come on the loop. The file appears complete, by one rename.
+// A separate thread reads and writes the file, since the file system may be slow and the event loop must not
+// block; completion handlers run on the event loop. The file is replaced atomically: it is written under a
+// temporary name and then renamed.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -16,22 +17,23 @@
 class SnapshotFile {
  public:
   static constexpr const char* kName = "flintglade.state";
-  // slot: of this process; its draft has a name that no other process uses.
+  // slot: of this process; part of the temporary name, so that no other process uses the same one.
   SnapshotFile(boost::asio::io_context& io, std::string folder, std::size_t slot);
-  ~SnapshotFile();  // waits for what is under way
+  ~SnapshotFile();  // waits for pending operations
   SnapshotFile(const SnapshotFile&) = delete;
   SnapshotFile& operator=(const SnapshotFile&) = delete;
 
-  // done, on the loop. Not OK: one line that says why the file is not there.
+  // done: called on the event loop; an error says in one line why the file was not written.
   void save(std::string bytes, std::function<void(const absl::Status&)> done);
-  // done, on the loop: the file's bytes, as far as max_bytes and one; empty: there is none.
+  // done: called on the event loop with the content of the file, empty if there is none. Reading stops once
+  // it exceeds max_bytes, so that decoding rejects a file that is too large.
   void load(std::size_t max_bytes, std::function<void(std::string)> done);
   void remove();
 
  private:
   boost::asio::io_context& io_;
   std::string path_;
-  std::string draft_path_;
+  std::string temporary_path_;
   boost::asio::thread_pool thread_{1};
 };
 
--- a/src/storage/checksummed_file.h
+++ b/src/storage/checksummed_file.h
@@ -1,6 +1,5 @@
-// The form of small files that one process leaves for another: 4 bytes that name what it is; then, each 4
-// bytes, least significant first, the version of the form, the length of what follows and its CRC-32; then
-// the body.
+// The format of small files that one process writes for another: a magic of 4 bytes; then, each as 4 bytes in
+// little-endian order, the format version, the length of the body and the CRC-32 of the body; then the body.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +15,11 @@
   std::string_view magic;  // 4 bytes
   std::uint32_t version = 1;
   std::size_t max_body_bytes = 0;
-  std::string_view not_this_form;  // the error for bytes that are something else
+  std::string_view magic_error;  // the error message for bytes without this magic
 };
 
-std::string encode_checksummed(const FileFormat& form, std::string_view body);
-// The body, as a part of `bytes`. Not OK: one line that says what is wrong.
-absl::StatusOr<std::string_view> decode_checksummed(const FileFormat& form, std::string_view bytes);
+std::string encode_checksummed(const FileFormat& format, std::string_view body);
+// Returns the body as a view into `bytes`. An error says in one line what is wrong.
+absl::StatusOr<std::string_view> decode_checksummed(const FileFormat& format, std::string_view bytes);
 
 }  // namespace flintglade::storage
--- a/tests/storage/checksummed_file_test.cpp
+++ b/tests/storage/checksummed_file_test.cpp
@@ -7,30 +7,31 @@
 namespace flintglade::storage {
 namespace {
 
-constexpr FileFormat kForm{"test", 2, 100, "it is something else"};
+constexpr FileFormat kFileFormat{"test", 2, 100, "it is something else"};
 
 std::string error_of(const std::string& bytes) {
-  return std::string(decode_checksummed(kForm, bytes).status().message());
+  return std::string(decode_checksummed(kFileFormat, bytes).status().message());
 }
 
-TEST(ChecksummedFile, GivesTheBodyBack) {
-  const std::string bytes = encode_checksummed(kForm, "body");
-  const auto body = decode_checksummed(kForm, bytes);
+TEST(ChecksummedFile, DecodesTheBodyThatWasEncoded) {
+  const std::string bytes = encode_checksummed(kFileFormat, "body");
+  const auto body = decode_checksummed(kFileFormat, bytes);
   ASSERT_TRUE(body.ok());
   EXPECT_EQ(*body, "body");
 }
 
-TEST(ChecksummedFile, SaysWhatIsWrong) {
-  const std::string bytes = encode_checksummed(kForm, "body");
+TEST(ChecksummedFile, ReportsWhatIsWrong) {
+  const std::string bytes = encode_checksummed(kFileFormat, "body");
   EXPECT_EQ(error_of(""), "it is something else");
   EXPECT_EQ(error_of("x" + bytes), "it is something else");
-  EXPECT_EQ(error_of(bytes.substr(0, bytes.size() - 1)), "it is torn");
-  EXPECT_EQ(error_of(bytes + "x"), "it is torn");
+  EXPECT_EQ(error_of(bytes.substr(0, bytes.size() - 1)), "body of 3 bytes, header declares 4");
+  EXPECT_EQ(error_of(bytes + "x"), "body of 5 bytes, header declares 4");
   std::string changed = bytes;
   changed.back() = 'x';
-  EXPECT_EQ(error_of(changed), "it is torn");
-  EXPECT_EQ(error_of(encode_checksummed({"test", 3, 100, ""}, "body")), "it is of version 3");
-  EXPECT_EQ(error_of(encode_checksummed(kForm, std::string(101, 'x'))), "it is torn");
+  EXPECT_EQ(error_of(changed), "body does not match its checksum");
+  EXPECT_EQ(error_of(encode_checksummed({"test", 3, 100, ""}, "body")), "format version 3, expected 2");
+  EXPECT_EQ(error_of(encode_checksummed(kFileFormat, std::string(101, 'x'))),
+            "body of 101 bytes, at most 100");
 }
 
 }  // namespace
