--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -103,8 +103,9 @@
                           << "\",\"seed\":\"" << ++starts_
                           << "\",\"limits\":{\"memory_mb\":64,\"sockets\":256},\"settings\":"
                           << (shape_.settings.empty() ? kSettings : shape_.settings) << "}";
-    Start s{g_program, {"serve", "--operator", file(i)}, {{"GW_CONFIG", config}, {"TMPDIR", folder}}, -1};
-    auto p = std::make_unique<Process>(s);
+    ProcessOptions options{
+        g_program, {"serve", "--operator", file(i)}, {{"GW_CONFIG", config}, {"TMPDIR", folder}}, -1};
+    auto p = std::make_unique<Process>(options);
     unsigned short port = 0;
     CHECK(within(5000, [&] { return (port = p->port("wire=fleet at=127.0.0.1:")) != 0; }));
     links.set_listen_port(i, port);
@@ -208,7 +209,7 @@
   }
   // Its exit status; -1: it did not end.
   int command(const std::vector<std::string>& words) const {
-    Process p(Start{g_program, words, {}, -1});
+    Process p(ProcessOptions{g_program, words, {}, -1});
     int status = 0;
     if (!within(15000, [&] { return p.ended(status); })) return -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -72,9 +72,9 @@
                           << started_ << "\"," << (deaf ? "" : "\"known\":" + known + ",")
                           << "\"limits\":{\"memory_mb\":" << limits.memory_mb
                           << ",\"sockets\":" << limits.sockets << "},\"settings\":" << kSettings << "}";
-    Start s{g_program, {}, {}, acceptor_.native_handle()};
-    s.environment = {{"GW_CONFIG", config}, {"GW_ACCEPT_FD", "3"}, {"TMPDIR", folder + scratch}};
-    return std::make_unique<Process>(s);
+    ProcessOptions options{g_program, {}, {}, acceptor_.native_handle()};
+    options.environment = {{"GW_CONFIG", config}, {"GW_ACCEPT_FD", "3"}, {"TMPDIR", folder + scratch}};
+    return std::make_unique<Process>(options);
   }
   static bool ready(Process& p) {
     const unsigned short at = p.port("wire=admin at=127.0.0.1:");
@@ -390,9 +390,10 @@
   Platform platform;
   int status = 0;
   for (const char* fd : {"99", "1", "x"}) {
-    Start s{g_program, {}, {{"GW_CONFIG", platform.folder + "/config1.json"}, {"GW_ACCEPT_FD", fd}}, -1};
+    ProcessOptions options{
+        g_program, {}, {{"GW_CONFIG", platform.folder + "/config1.json"}, {"GW_ACCEPT_FD", fd}}, -1};
     if (std::string(fd) == "99") platform.start()->signal(SIGKILL);  // writes the configuration
-    Process p(s);
+    Process p(options);
     CHECK(within(3000, [&] { return p.ended(status); }));
     CHECK(WIFEXITED(status) && WEXITSTATUS(status) == 1);
     CHECK(within(1000, [&] { return p.log().find('\n') != std::string::npos; }));
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -327,10 +327,10 @@
   CHECK(address_position != std::string::npos);
   text.replace(address_position, fleet.links.advertised_address(3).size(), fleet.links.advertised_address(4));
   std::ofstream(second_file) << text;
-  Process second(Start{g_program,
-                       {"serve", "--operator", second_file},
-                       {{"GW_CONFIG", fleet.folder + "/n3.json"}, {"TMPDIR", fleet.folder}},
-                       -1});
+  Process second(ProcessOptions{g_program,
+                                {"serve", "--operator", second_file},
+                                {{"GW_CONFIG", fleet.folder + "/n3.json"}, {"TMPDIR", fleet.folder}},
+                                -1});
   unsigned short port = 0;
   CHECK(within(5000, [&] { return (port = second.port("wire=fleet at=127.0.0.1:")) != 0; }));
   fleet.links.set_listen_port(4, port);
--- a/tests/fleet/process.cpp
+++ b/tests/fleet/process.cpp
@@ -16,19 +16,19 @@
 
 namespace flintglade::tests {
 
-Process::Process(const Start& start) {
+Process::Process(const ProcessOptions& options) {
   int pipe[2];
   if (::pipe2(pipe, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
   pid_ = ::fork();
   if (pid_ == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that is killed leaves nothing behind
     ::dup2(pipe[1], STDERR_FILENO);
-    if (start.inherit == 3) ::fcntl(3, F_SETFD, 0);
-    if (start.inherit >= 0 && start.inherit != 3) ::dup2(start.inherit, 3);
-    for (const auto& [name, value] : start.environment)
+    if (options.inherit == 3) ::fcntl(3, F_SETFD, 0);
+    if (options.inherit >= 0 && options.inherit != 3) ::dup2(options.inherit, 3);
+    for (const auto& [name, value] : options.environment)
       value.empty() ? ::unsetenv(name.c_str()) : ::setenv(name.c_str(), value.c_str(), 1);
-    std::vector<char*> words{const_cast<char*>(start.program.c_str())};
-    for (const std::string& a : start.arguments) words.push_back(const_cast<char*>(a.c_str()));
+    std::vector<char*> words{const_cast<char*>(options.program.c_str())};
+    for (const std::string& a : options.arguments) words.push_back(const_cast<char*>(a.c_str()));
     words.push_back(nullptr);
     ::execv(words[0], words.data());
     ::_exit(127);
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -13,7 +13,7 @@
 
 namespace flintglade::tests {
 
-struct Start {
+struct ProcessOptions {
   std::string program;
   std::vector<std::string> arguments;
   std::map<std::string, std::string> environment;  // beside ours; an empty value takes a variable away
@@ -22,7 +22,7 @@
 
 class Process {
  public:
-  explicit Process(const Start& start);
+  explicit Process(const ProcessOptions& options);
   ~Process();  // killed, if it still runs
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -428,8 +428,8 @@
       "4000 } }";
   Fleet fleet(5, 3, seed, options);
   wait_for_allocator(fleet);
-  Process without_fleet(
-      Start{g_program, {"serve"}, {{"GW_CONFIG", fleet.folder + "/n4.json"}, {"TMPDIR", fleet.folder}}, -1});
+  Process without_fleet(ProcessOptions{
+      g_program, {"serve"}, {{"GW_CONFIG", fleet.folder + "/n4.json"}, {"TMPDIR", fleet.folder}}, -1});
   CHECK(within(5000, [&] { return without_fleet.port("wire=http at=127.0.0.1:") != 0; }));
   pause(1000);
   std::map<bool, std::vector<double>> first_event_ms;
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -61,16 +61,16 @@
     configure(discovery);
     operator_file(membership);
     write_savefile(replayed);
-    Start start{path, {}, {}, -1};
-    start.environment = {{"GW_CONFIG", folder_ + "/config.json"},
-                         {"GW_DISCOVERY", "127.0.0.1:" + std::to_string(discovery)}};
-    start.environment.insert(environment.begin(), environment.end());
+    ProcessOptions options{path, {}, {}, -1};
+    options.environment = {{"GW_CONFIG", folder_ + "/config.json"},
+                           {"GW_DISCOVERY", "127.0.0.1:" + std::to_string(discovery)}};
+    options.environment.insert(environment.begin(), environment.end());
     if (replayed > 0) {
-      start.arguments = {"serve", "--replay", savefile(), "--record", record()};
+      options.arguments = {"serve", "--replay", savefile(), "--record", record()};
     } else if (kserve_ || !membership.empty()) {
-      start.arguments = {"serve", "--operator", folder_ + "/operator.textproto"};
+      options.arguments = {"serve", "--operator", folder_ + "/operator.textproto"};
     }
-    process_ = std::make_unique<Process>(start);
+    process_ = std::make_unique<Process>(options);
   }
   ~Program() {
     process_.reset();
