--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -148,7 +148,7 @@
     }
     return -1;
   }
-  std::uint64_t number() const {
+  std::uint64_t highest_ownership_number() const {
     std::uint64_t most = 0;
     for (const Audit::Ownership& o : audit().ownerships()) most = std::max(most, o.number);
     return most;
@@ -157,7 +157,7 @@
     int found = -1;
     within(ms, [&] {
       const int o = owner();
-      if (o < 0 || number() <= above) return false;
+      if (o < 0 || highest_ownership_number() <= above) return false;
       if (std::find(not_these.begin(), not_these.end(), static_cast<std::size_t>(o)) != not_these.end())
         return false;
       found = o;
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -19,7 +19,7 @@
   int owner = fleet.wait_owner(0, 10000);
   CHECK(owner >= 0);
   for (int i = 0; i < rounds; ++i) {
-    const std::uint64_t before = fleet.number();
+    const std::uint64_t before = fleet.highest_ownership_number();
     fleet.kill(static_cast<std::size_t>(owner));
     const auto from = now();
     const int next = fleet.wait_owner(before, 10000);
@@ -41,7 +41,7 @@
   CHECK(owner >= 0);
   std::size_t owner_changes = 0;
   for (int i = 0; i < rounds; ++i) {
-    const std::uint64_t before = fleet.number();
+    const std::uint64_t before = fleet.highest_ownership_number();
     // Stops the owner while it sends: the list changes just before.
     fleet.change(i % 2 == 0 ? "Ready" : "Terminating");
     pause(static_cast<int>(random() % 4));
@@ -56,7 +56,7 @@
     owner = fleet.wait_owner(0, 10000);
     if (owner < 0) fleet.print_logs();
     CHECK(owner >= 0);
-    owner_changes += fleet.number() > before;
+    owner_changes += fleet.highest_ownership_number() > before;
   }
   const Audit audit = fleet.audit();
   std::printf("%d stops, %zu changes of owner, %llu effects of former owners refused\n", rounds,
@@ -86,7 +86,7 @@
   const std::size_t first = static_cast<std::size_t>(owner);
   // The owner still reaches the receivers of its effects, but its datagrams are delayed until after those of
   // the next owner.
-  std::uint64_t number = fleet.number();
+  std::uint64_t number = fleet.highest_ownership_number();
   std::vector<std::size_t> receivers;
   for (std::size_t i = 3; i < fleet.size(); ++i) {
     if (i != first) receivers.push_back(i);
@@ -96,7 +96,7 @@
   const int second_owner = wait_next_owner(number, {first});
   CHECK(within(8000, [&] { return fleet.audit().stale_effects() > 0; }));
   fleet.links.all({});
-  number = fleet.number();
+  number = fleet.highest_ownership_number();
   // The second owner is cut from the non-voters, not from the voters: it keeps its lease, and the non-voters
   // open their own watches.
   const std::size_t second = static_cast<std::size_t>(second_owner);
@@ -111,7 +111,7 @@
   // Cut in one direction: the third owner receives datagrams, but its own are lost.
   int third = fleet.owner();
   CHECK(third >= 0);
-  number = fleet.number();
+  number = fleet.highest_ownership_number();
   fleet.links.between({static_cast<std::size_t>(third)}, others(fleet, static_cast<std::size_t>(third)), cut,
                       false);
   wait_next_owner(number, {static_cast<std::size_t>(third)});
@@ -126,7 +126,7 @@
   fleet.links.between({0}, {1, 2}, cut);
   fleet.links.between({1}, {2}, cut);
   CHECK(within(8000, [&] { return fleet.owner() < 0 && fleet.reads_as("alone") == fleet.size(); }));
-  number = fleet.number();
+  number = fleet.highest_ownership_number();
   fleet.links.all({});
   wait_next_owner(0, {});
   fleet.all_follow();
@@ -196,12 +196,12 @@
 void all_at_once(int, std::uint64_t seed) {
   Fleet fleet(5, 3, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
-  const std::uint64_t before = fleet.number();
+  const std::uint64_t before = fleet.highest_ownership_number();
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet.kill(i);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet.start(i);
   CHECK(fleet.wait_owner(before, 10000) >= 0);  // under a new number
   // A disk is lost: its router does not vote, and two voters are enough.
-  const std::uint64_t number = fleet.number();
+  const std::uint64_t number = fleet.highest_ownership_number();
   fleet.kill(0);
   std::filesystem::remove_all(fleet.disk(0));
   fleet.start(0);
@@ -225,8 +225,8 @@
   // It votes now, so one of the two old voters can fail.
   const std::size_t failed = fleet.leader() == 1 ? 1 : 2;
   fleet.kill(failed);
-  CHECK(fleet.wait_owner(fleet.number() - 1, 10000) >= 0);
-  CHECK(fleet.number() >= number);
+  CHECK(fleet.wait_owner(fleet.highest_ownership_number() - 1, 10000) >= 0);
+  CHECK(fleet.highest_ownership_number() >= number);
   fleet.check_invariants();
   // A damaged log file: the router reports it and runs without voting.
   const std::string record = fleet.disk(failed) + "/record.log";
@@ -256,10 +256,10 @@
     const int before = fleet.owner();
     CHECK(before >= 0);
     if (Fleet::id(static_cast<std::size_t>(before)) == to) continue;
-    const std::uint64_t number = fleet.number();
+    const std::uint64_t number = fleet.highest_ownership_number();
     CHECK(fleet.command(
               {"fleet", "move", kJob, to, "--at", fleet.address(static_cast<std::size_t>(i) % 5)}) == 0);
-    CHECK(within(5000, [&] { return fleet.number() > number && fleet.owner() == i % 5; }));
+    CHECK(within(5000, [&] { return fleet.highest_ownership_number() > number && fleet.owner() == i % 5; }));
     const auto owners = fleet.audit().ownerships();
     gaps.push_back(static_cast<double>(owners.back().from_ms - owners[owners.size() - 2].to_ms));
     fleet.change(i % 2 == 0 ? "Terminating" : "Ready");
