--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -201,7 +201,7 @@
     return n;
   }
   // One reads the list, and all the others hear it.
-  void all_follow() const {
+  void wait_until_all_follow() const {
     const bool so =
         within(15000, [&] { return reads_as("following") == size() - 1 && reads_as("reader") == 1; });
     if (!so) print_logs();
--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -107,7 +107,7 @@
   fleet.links.between({second}, cut_off, cut);
   CHECK(within(8000, [&] { return fleet.reads_as("alone") >= cut_off.size(); }));
   fleet.links.all({});
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   // Cut in one direction: the third owner receives datagrams, but its own are lost.
   int third = fleet.owner();
   CHECK(third >= 0);
@@ -129,7 +129,7 @@
   number = fleet.highest_ownership_number();
   fleet.links.all({});
   wait_next_owner(0, {});
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   // The network loses, duplicates, delays and reorders datagrams: the rules hold.
   fleet.links.all({false, 0.1, 0.1, 2, 20});
   fleet.change("Terminating");
@@ -143,7 +143,7 @@
 void two_to_three(int, std::uint64_t seed) {
   Fleet fleet(7, 5, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   for (const std::vector<std::size_t>& minority :
        {std::vector<std::size_t>{0, 1, 5}, std::vector<std::size_t>{3, 4, 6}}) {
     std::vector<std::size_t> majority;
@@ -158,7 +158,7 @@
              fleet.reads_as("alone") == minority.size() && fleet.reads_as("following") == majority.size() - 1;
     }));
     fleet.links.all({});
-    fleet.all_follow();
+    fleet.wait_until_all_follow();
   }
   fleet.check_invariants();
 }
@@ -184,7 +184,7 @@
     fleet.kill(leader);
     fleet.start(leader);
     CHECK(fleet.wait_owner(0, 10000) >= 0);
-    fleet.all_follow();
+    fleet.wait_until_all_follow();
   }
   std::printf("the leader ends, to the next one: p50 %.0f ms, most %.0f ms (elections after 300 ms)\n",
               percentile(durations, 0.5), percentile(durations, 1.0));
@@ -303,7 +303,7 @@
     fleet.print_logs();
     CHECK(!"no owner at the end");
   }
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   double longest = 0;
   const auto owners = fleet.audit().ownerships();
   for (std::size_t i = 1; i < owners.size(); ++i)
