--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -1,4 +1,4 @@
-// Routers of one fleet as processes, with a link between each pair; what is common to all tests of fleets.
+// A fleet of router processes with a simulated link between each pair, and helpers of the tests that use it.
 #pragma once
 
 #include <unistd.h>
@@ -27,7 +27,7 @@
 using coordination::Audit;
 using coordination::LogLine;
 
-inline std::string g_program;  // the router's
+inline std::string g_program;  // path of the router program
 inline constexpr const char* kJob = "list-reader@hall";
 inline constexpr int kLeaseMs = 800;
 
@@ -36,10 +36,11 @@
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
 }
 inline std::chrono::steady_clock::time_point now() { return std::chrono::steady_clock::now(); }
-inline double percentile(std::vector<double> of, double part) {
-  if (of.empty()) return 0.0;
-  std::sort(of.begin(), of.end());
-  return of[std::min(of.size() - 1, static_cast<std::size_t>(part * static_cast<double>(of.size())))];
+inline double percentile(std::vector<double> values, double fraction) {
+  if (values.empty()) return 0.0;
+  std::sort(values.begin(), values.end());
+  return values[std::min(values.size() - 1,
+                         static_cast<std::size_t>(fraction * static_cast<double>(values.size())))];
 }
 
 inline std::string contents(const std::string& path) {
@@ -47,10 +48,10 @@
   return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
-// What differs from case to case.
+// What differs between the test cases.
 struct FleetOptions {
   std::size_t replicas = 1, sites = 1;
-  std::string extra;     // in each router's file, in its fleet; '@' becomes a path of that router's own
+  std::string extra;     // added to `fleet` in each operator file; '@' becomes a path prefix of that router
   std::string settings;  // empty: kSettings
 };
 
@@ -60,13 +61,13 @@
   Discovery discovery;
   std::vector<std::unique_ptr<Replica>> replicas;
 
-  // One link more than routers: for a process that a case starts itself.
+  // There is one link more than routers, for a process that a test case starts itself.
   Fleet(std::size_t routers, std::size_t voters, std::uint64_t seed, FleetOptions options = {})
-      : links(routers + 1, seed), voters_(voters), shape_(std::move(options)) {
+      : links(routers + 1, seed), voters_(voters), options_(std::move(options)) {
     char name[] = "/tmp/flintglade-owners-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
     folder = name;
-    for (std::size_t i = 0; i < shape_.replicas; ++i)
+    for (std::size_t i = 0; i < options_.replicas; ++i)
       replicas.push_back(make_replica(Protocol::http, "stream", 1));
     change("Ready");
     routers_.resize(routers);
@@ -85,7 +86,7 @@
   std::string file(std::size_t i) const { return folder + "/" + id(i) + ".textproto"; }
   std::string disk(std::size_t i) const { return folder + "/" + id(i) + ".record"; }
   std::size_t size() const { return routers_.size(); }
-  // All replicas, in this state.
+  // Sets the state of all replicas in the endpoint list.
   void change(const std::string& state) {
     std::string entries;
     for (std::size_t i = 0; i < replicas.size(); ++i)
@@ -102,17 +103,17 @@
                           << "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" << discovery.port()
                           << "\",\"seed\":\"" << ++starts_
                           << "\",\"limits\":{\"memory_mb\":64,\"sockets\":256},\"settings\":"
-                          << (shape_.settings.empty() ? kSettings : shape_.settings) << "}";
+                          << (options_.settings.empty() ? kSettings : options_.settings) << "}";
     ProcessOptions options{
         g_program, {"serve", "--operator", file(i)}, {{"GW_CONFIG", config}, {"TMPDIR", folder}}, -1};
-    auto p = std::make_unique<Process>(options);
+    auto process = std::make_unique<Process>(options);
     unsigned short port = 0;
-    CHECK(within(5000, [&] { return (port = p->port("wire=fleet at=127.0.0.1:")) != 0; }));
+    CHECK(within(5000, [&] { return (port = process->port("wire=fleet at=127.0.0.1:")) != 0; }));
     links.set_listen_port(i, port);
     ports_[i] = port;
-    routers_[i] = std::move(p);
+    routers_[i] = std::move(process);
   }
-  void signal(std::size_t i, int which) { routers_[i]->signal(which); }
+  void signal(std::size_t i, int number) { routers_[i]->signal(number); }
   void kill(std::size_t i) {
     links.set_listen_port(i, 0);
     routers_[i]->signal(SIGKILL);
@@ -135,12 +136,12 @@
     for (std::size_t i = 0; i < routers_.size(); ++i) out.add_log(id(i), log(i));
     return out;
   }
-  // The one owner that has started last, if it has not stopped since; of processes that live.
+  // The router that became owner of kJob last; -1 if its ownership has ended or its process does not run.
   int owner() const {
     const auto owners = audit().ownerships();
     const Audit::Ownership* last = nullptr;
-    for (const Audit::Ownership& o : owners) {
-      if (o.job == kJob && (last == nullptr || o.number >= last->number)) last = &o;
+    for (const Audit::Ownership& ownership : owners) {
+      if (ownership.job == kJob && (last == nullptr || ownership.number >= last->number)) last = &ownership;
     }
     if (last == nullptr || last->end_reason != "its log ends") return -1;
     for (std::size_t i = 0; i < routers_.size(); ++i) {
@@ -149,72 +150,76 @@
     return -1;
   }
   std::uint64_t highest_ownership_number() const {
-    std::uint64_t most = 0;
-    for (const Audit::Ownership& o : audit().ownerships()) most = std::max(most, o.number);
-    return most;
+    std::uint64_t highest = 0;
+    for (const Audit::Ownership& ownership : audit().ownerships())
+      highest = std::max(highest, ownership.number);
+    return highest;
   }
-  int wait_owner(std::uint64_t above, int ms, const std::vector<std::size_t>& not_these = {}) {
+  // Waits for an owner with a higher ownership number that is not one of `excluded`; -1 on a timeout.
+  int wait_owner(std::uint64_t above, int timeout_ms, const std::vector<std::size_t>& excluded = {}) {
     int found = -1;
-    within(ms, [&] {
-      const int o = owner();
-      if (o < 0 || highest_ownership_number() <= above) return false;
-      if (std::find(not_these.begin(), not_these.end(), static_cast<std::size_t>(o)) != not_these.end())
+    within(timeout_ms, [&] {
+      const int current = owner();
+      if (current < 0 || highest_ownership_number() <= above) return false;
+      if (std::find(excluded.begin(), excluded.end(), static_cast<std::size_t>(current)) != excluded.end())
         return false;
-      found = o;
+      found = current;
       return true;
     });
     return found;
   }
+  // The running voter that leads in the highest term according to its log; -1: none.
   int leader() const {
     int found = -1;
     std::uint64_t term = 0;
     for (std::size_t i = 0; i < voters_; ++i) {
       if (!runs(i)) continue;
       std::istringstream lines(log(i));
-      std::uint64_t leads = 0;
+      std::uint64_t led_term = 0;
       for (std::string text; std::getline(lines, text);) {
         const std::optional<LogLine> parsed = coordination::parse_log_line(text);
         if (!parsed) continue;
         const LogLine& line = *parsed;
-        if (line.event == "leadership_acquired") leads = std::strtoull(line["term"].c_str(), nullptr, 10);
+        if (line.event == "leadership_acquired") led_term = std::strtoull(line["term"].c_str(), nullptr, 10);
         if (line.event == "leadership_lost" || (line.event == "listening" && line["wire"] == "http"))
-          leads = 0;
+          led_term = 0;
       }
-      if (leads > term) {
-        term = leads;
+      if (led_term > term) {
+        term = led_term;
         found = static_cast<int>(i);
       }
     }
     return found;
   }
+  // The number of running routers whose last log event endpoint_list_reader has this state.
   std::size_t reads_as(const std::string& state) const {
-    std::size_t n = 0;
+    std::size_t count = 0;
     for (std::size_t i = 0; i < routers_.size(); ++i) {
       if (!runs(i)) continue;
       const std::string text = routers_[i]->log();
       const std::string marker = "event=endpoint_list_reader as=";
       const std::size_t at = text.rfind(marker);
-      n += (at == std::string::npos
-                ? "alone"
-                : text.substr(at + marker.size(), text.find('\n', at) - at - marker.size())) == state;
+      count += (at == std::string::npos
+                    ? "alone"
+                    : text.substr(at + marker.size(), text.find('\n', at) - at - marker.size())) == state;
     }
-    return n;
+    return count;
   }
-  // One reads the list, and all the others hear it.
+  // Waits until one router reads the endpoint list and all others follow it.
   void wait_until_all_follow() const {
-    const bool so =
+    const bool all_follow =
         within(15000, [&] { return reads_as("following") == size() - 1 && reads_as("reader") == 1; });
-    if (!so) print_logs();
-    CHECK(so);
+    if (!all_follow) print_logs();
+    CHECK(all_follow);
   }
-  // Its exit status; -1: it did not end.
-  int command(const std::vector<std::string>& words) const {
-    Process p(ProcessOptions{g_program, words, {}, -1});
+  // Runs a command of the program. Returns its exit status; -1: it did not end.
+  int command(const std::vector<std::string>& arguments) const {
+    Process process(ProcessOptions{g_program, arguments, {}, -1});
     int status = 0;
-    if (!within(15000, [&] { return p.ended(status); })) return -1;
+    if (!within(15000, [&] { return process.ended(status); })) return -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  // What the router says of itself; of no name if it does not answer.
+  // The status that the router reports; without a name if it does not answer.
   coordination::Status status(std::size_t i) const {
     coordination::Packet question, answer;
     question.mutable_query();
@@ -228,16 +233,18 @@
     io.run_for(std::chrono::milliseconds(1000));
     return answer.status();
   }
-  // As if it came from a router of the fleet.
-  void forge(std::size_t to, const coordination::Packet& p) const {
+  // Sends a packet to a router as if it came from another router of the fleet.
+  void forge(std::size_t to, const coordination::Packet& packet) const {
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, {boost::asio::ip::udp::v4(), 0});
-    send(socket, to, p);
+    send(socket, to, packet);
   }
+  // Ends the test if the audit of the logs reports a violated rule.
   void check_invariants() const {
-    const Audit a = audit();
-    for (const std::string& b : a.violations()) std::fprintf(stderr, "BROKEN: %s\n", b.c_str());
-    CHECK(a.violations().empty());
+    const Audit logs = audit();
+    for (const std::string& violation : logs.violations())
+      std::fprintf(stderr, "BROKEN: %s\n", violation.c_str());
+    CHECK(logs.violations().empty());
   }
   void print_logs() const {
     for (std::size_t i = 0; i < routers_.size(); ++i)
@@ -246,37 +253,38 @@
   std::string folder;
 
  private:
-  void send(boost::asio::ip::udp::socket& socket, std::size_t to, const coordination::Packet& p) const {
-    socket.send_to(boost::asio::buffer(p.SerializeAsString()),
+  void send(boost::asio::ip::udp::socket& socket, std::size_t to, const coordination::Packet& packet) const {
+    socket.send_to(boost::asio::buffer(packet.SerializeAsString()),
                    {boost::asio::ip::address_v4::loopback(), ports_.at(to)});
   }
   void write_file(std::size_t i) {
     std::ofstream out(file(i));
     out << "fleet { name: \"test\" listen: \"127.0.0.1:0\" advertise: \"" << links.advertised_address(i)
-        << "\" site: \"" << (shape_.sites > 1 ? "hall" + std::to_string(i % shape_.sites) : "hall") << "\"\n"
-        << "directory: \"" << disk(i) << "\" " << (shape_.sites > 1 ? "" : "list_readers: \"hall\"")
+        << "\" site: \"" << (options_.sites > 1 ? "hall" + std::to_string(i % options_.sites) : "hall")
+        << "\"\n"
+        << "directory: \"" << disk(i) << "\" " << (options_.sites > 1 ? "" : "list_readers: \"hall\"")
         << " period_s: 0.2 probe_timeout_s: 0.06 lease_s: " << kLeaseMs / 1000.0
         << " election_s: 0.3 list_silence_s: 0.6\n";
     for (std::size_t v = 0; v < voters_; ++v)
       out << "seeds: \"" << links.advertised_address(v) << "\" voters { router: \"" << id(v)
           << "\" id: " << v + 1 << " at: \"" << links.advertised_address(v) << "\" }\n";
-    std::string extra = shape_.extra;
+    std::string extra = options_.extra;
     if (const std::size_t at = extra.find("@"); at != std::string::npos)
       extra.replace(at, 1, folder + "/" + id(i));
     out << extra << "}\n";
   }
   std::size_t voters_;
-  FleetOptions shape_;
+  FleetOptions options_;
   int starts_ = 0;
   std::vector<std::unique_ptr<Process>> routers_;
   std::map<std::size_t, std::string> logs_;
   std::map<std::size_t, unsigned short> ports_;
 };
 
-inline std::vector<std::size_t> others(const Fleet& fleet, std::size_t but) {
+inline std::vector<std::size_t> others(const Fleet& fleet, std::size_t excluded) {
   std::vector<std::size_t> out;
   for (std::size_t i = 0; i < fleet.size(); ++i) {
-    if (i != but) out.push_back(i);
+    if (i != excluded) out.push_back(i);
   }
   return out;
 }
--- a/tests/fleet/load.h
+++ b/tests/fleet/load.h
@@ -1,4 +1,5 @@
-// Clients by the hundreds on one thread: true requests at a steady pace, and such as never finish one.
+// Load generator: hundreds of clients on one thread, which send requests at a constant rate, and idle
+// connections that never complete a request.
 #pragma once
 
 #include <atomic>
@@ -16,49 +17,52 @@
 
 struct LoadOptions {
   double per_second = 60.0;
-  double slow_part = 0.0;  // of the requests, written in pieces over slow_ms
+  double slow_fraction = 0.0;  // of the requests; these are written in pieces over slow_ms
   int slow_ms = 0;
-  bool keep = false;     // on kept connections, a new one when all are busy; else a new one each
-  std::size_t body = 2;  // bytes
-  int events = 0;        // of each whole answer, numbered from 0; 0: not looked at
+  // Reuses connections, and opens a new one only if all are busy; false: one connection per request.
+  bool keep_alive = false;
+  std::size_t body_bytes = 2;
+  int events = 0;  // expected in each response, numbered from 0; 0: not checked
 };
 
-// How requests ended. Each that was written whole is in exactly one of the first five.
+// Results of the requests. Each request that was completely written counts in exactly one of the first five.
 struct LoadResults {
   std::uint64_t served = 0, refused = 0, failed = 0;
-  std::uint64_t door = 0;        // its connection was refused or closed without a byte of an answer
-  std::uint64_t lost = 0;        // no final answer in time, or a broken one
-  std::uint64_t torn = 0;        // beside that: served, and not just its events in their order
-  std::uint64_t twice = 0;       // beside that: more came than one answer
-  std::vector<double> first_ms;  // to the first event, of those served that were written in one piece
-  std::uint64_t requests() const { return served + refused + failed + door + lost; }
+  std::uint64_t unaccepted = 0;  // connection refused, or closed before any byte of a response
+  std::uint64_t lost = 0;        // no complete response in time, or the connection broke during it
+  std::uint64_t malformed = 0;   // of those served: events missing, surplus or out of order
+  std::uint64_t surplus = 0;     // responses followed by more bytes; counted in addition
+  // Latencies of the first event, of requests served that were written in one piece.
+  std::vector<double> first_ms;
+  std::uint64_t requests() const { return served + refused + failed + unaccepted + lost; }
 };
 
 class Load {
  public:
-  Load(unsigned short port, LoadOptions pace, std::uint64_t seed);
+  Load(unsigned short port, LoadOptions options, std::uint64_t seed);
   ~Load();
-  // Connections that send just this and stay; one that is closed on comes again after again_ms (0: never).
-  void crowd(int connections, const std::string& bytes, int again_ms);
-  // No more requests; waits for the ends of those that are out.
+  // Opens connections that send only these bytes and stay open. If the router closes one, it is opened again
+  // after reconnect_ms (0: never).
+  void open_idle_connections(int connections, const std::string& bytes, int reconnect_ms);
+  // Starts no more requests, and waits for the results of the pending ones.
   LoadResults finish();
-  std::uint64_t requests() const { return asked_; }
+  std::uint64_t requests() const { return requests_; }
 
  private:
   class Request;
-  class Idler;
-  void next();
+  class IdleConnection;
+  void schedule_next();
 
   boost::asio::io_context io_;
-  boost::asio::ip::tcp::endpoint to_;
-  LoadOptions pace_;
+  boost::asio::ip::tcp::endpoint endpoint_;
+  LoadOptions options_;
   std::mt19937_64 random_;
   boost::asio::steady_timer timer_;
-  std::vector<std::shared_ptr<Request>> kept_;
-  std::list<std::shared_ptr<Idler>> idlers_;
-  LoadResults ends_;
-  std::atomic<std::uint64_t> asked_ = 0;
-  std::uint64_t open_ = 0;
+  std::vector<std::shared_ptr<Request>> kept_connections_;
+  std::list<std::shared_ptr<IdleConnection>> idle_connections_;
+  LoadResults results_;
+  std::atomic<std::uint64_t> requests_ = 0;
+  std::uint64_t pending_ = 0;
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -1,5 +1,5 @@
-// Processes of the program, as a test or a scenario starts them: any number, each with a configuration, an
-// environment and inherited descriptors of its own.
+// Processes of the program that a test or a scenario starts, each with its own arguments, environment and
+// inherited descriptor.
 #pragma once
 
 #include <sys/types.h>
@@ -16,26 +16,28 @@
 struct ProcessOptions {
   std::string program;
   std::vector<std::string> arguments;
-  std::map<std::string, std::string> environment;  // beside ours; an empty value takes a variable away
-  int inherit = -1;                                // this descriptor becomes 3
+  // Added to the environment of the test; an empty value unsets the variable.
+  std::map<std::string, std::string> environment;
+  int inherit = -1;  // descriptor that the process gets as 3; -1: none
 };
 
 class Process {
  public:
   explicit Process(const ProcessOptions& options);
-  ~Process();  // killed, if it still runs
+  ~Process();  // kills the process if it still runs
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   pid_t pid() const { return pid_; }
-  void signal(int which) const;
-  // Whether it has ended; the status is then that of waitpid.
+  void signal(int number) const;
+  // Whether the process has ended; `status` is then that of waitpid().
   bool ended(int& status);
-  std::string log();                             // all that it said on standard error
-  unsigned short port(const std::string& mark);  // behind this mark in a whole line of the log; 0: not yet
+  std::string log();  // everything it has written to standard error
+  // The port number after this text, in a complete line of the log; 0: not logged yet.
+  unsigned short port(const std::string& prefix);
   std::size_t descriptors() const;
   long resident_kb() const;
-  long cpu_ms() const;  // of the processor, used so far
+  long cpu_ms() const;  // processor time used so far
 
  private:
   pid_t pid_ = -1;
@@ -46,7 +48,7 @@
   std::thread reader_;
 };
 
-// Polls until it is so; false when the time is up.
-bool within(int milliseconds, const std::function<bool()>& so);
+// Polls until the condition holds; returns false on a timeout.
+bool within(int milliseconds, const std::function<bool()>& condition);
 
 }  // namespace flintglade::tests
