--- a/tests/fleet/owners_test.cpp
+++ b/tests/fleet/owners_test.cpp
@@ -19,7 +19,7 @@
   int owner = fleet.wait_owner(0, 10000);
   CHECK(owner >= 0);
   for (int i = 0; i < rounds; ++i) {
-    const std::uint64_t before = fleet.number();
+    const std::uint64_t before = fleet.highest_ownership_number();
     fleet.kill(static_cast<std::size_t>(owner));
     const auto from = now();
     const int next = fleet.wait_owner(before, 10000);
@@ -30,7 +30,7 @@
   }
   std::printf("owner killed, to the next one: p50 %.0f ms, most %.0f ms (lease %d ms)\n",
               percentile(durations, 0.5), percentile(durations, 1.0), kLeaseMs);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Owners are stopped for less and for more than the duration of their lease, and continue afterwards.
@@ -41,7 +41,7 @@
   CHECK(owner >= 0);
   std::size_t owner_changes = 0;
   for (int i = 0; i < rounds; ++i) {
-    const std::uint64_t before = fleet.number();
+    const std::uint64_t before = fleet.highest_ownership_number();
     // Stops the owner while it sends: the list changes just before.
     fleet.change(i % 2 == 0 ? "Ready" : "Terminating");
     pause(static_cast<int>(random() % 4));
@@ -56,12 +56,12 @@
     owner = fleet.wait_owner(0, 10000);
     if (owner < 0) fleet.print_logs();
     CHECK(owner >= 0);
-    owner_changes += fleet.number() > before;
+    owner_changes += fleet.highest_ownership_number() > before;
   }
   const Audit audit = fleet.audit();
   std::printf("%d stops, %zu changes of owner, %llu effects of former owners refused\n", rounds,
               owner_changes, static_cast<unsigned long long>(audit.stale_effects()));
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Cuts: the owner from the voters only, from the non-voters only, in one direction only; the voters from each
@@ -86,7 +86,7 @@
   const std::size_t first = static_cast<std::size_t>(owner);
   // The owner still reaches the receivers of its effects, but its datagrams are delayed until after those of
   // the next owner.
-  std::uint64_t number = fleet.number();
+  std::uint64_t number = fleet.highest_ownership_number();
   std::vector<std::size_t> receivers;
   for (std::size_t i = 3; i < fleet.size(); ++i) {
     if (i != first) receivers.push_back(i);
@@ -96,7 +96,7 @@
   const int second_owner = wait_next_owner(number, {first});
   CHECK(within(8000, [&] { return fleet.audit().stale_effects() > 0; }));
   fleet.links.all({});
-  number = fleet.number();
+  number = fleet.highest_ownership_number();
   // The second owner is cut from the non-voters, not from the voters: it keeps its lease, and the non-voters
   // open their own watches.
   const std::size_t second = static_cast<std::size_t>(second_owner);
@@ -107,11 +107,11 @@
   fleet.links.between({second}, cut_off, cut);
   CHECK(within(8000, [&] { return fleet.reads_as("alone") >= cut_off.size(); }));
   fleet.links.all({});
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   // Cut in one direction: the third owner receives datagrams, but its own are lost.
   int third = fleet.owner();
   CHECK(third >= 0);
-  number = fleet.number();
+  number = fleet.highest_ownership_number();
   fleet.links.between({static_cast<std::size_t>(third)}, others(fleet, static_cast<std::size_t>(third)), cut,
                       false);
   wait_next_owner(number, {static_cast<std::size_t>(third)});
@@ -126,16 +126,16 @@
   fleet.links.between({0}, {1, 2}, cut);
   fleet.links.between({1}, {2}, cut);
   CHECK(within(8000, [&] { return fleet.owner() < 0 && fleet.reads_as("alone") == fleet.size(); }));
-  number = fleet.number();
+  number = fleet.highest_ownership_number();
   fleet.links.all({});
   wait_next_owner(0, {});
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   // The network loses, duplicates, delays and reorders datagrams: the rules hold.
   fleet.links.all({false, 0.1, 0.1, 2, 20});
   fleet.change("Terminating");
   pause(2000);
   fleet.links.all({});
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Five voters, partitioned into two and three: the jobs continue on the side of the three, and the routers on
@@ -143,7 +143,7 @@
 void two_to_three(int, std::uint64_t seed) {
   Fleet fleet(7, 5, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   for (const std::vector<std::size_t>& minority :
        {std::vector<std::size_t>{0, 1, 5}, std::vector<std::size_t>{3, 4, 6}}) {
     std::vector<std::size_t> majority;
@@ -158,9 +158,9 @@
              fleet.reads_as("alone") == minority.size() && fleet.reads_as("following") == majority.size() - 1;
     }));
     fleet.links.all({});
-    fleet.all_follow();
+    fleet.wait_until_all_follow();
   }
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // The leader shuts down: it transfers the leadership, so that another voter leads at once.
@@ -184,11 +184,11 @@
     fleet.kill(leader);
     fleet.start(leader);
     CHECK(fleet.wait_owner(0, 10000) >= 0);
-    fleet.all_follow();
+    fleet.wait_until_all_follow();
   }
   std::printf("the leader ends, to the next one: p50 %.0f ms, most %.0f ms (elections after 300 ms)\n",
               percentile(durations, 0.5), percentile(durations, 1.0));
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // All routers are killed at once and restart; then disks are lost, finally those of a majority of the voters,
@@ -196,12 +196,12 @@
 void all_at_once(int, std::uint64_t seed) {
   Fleet fleet(5, 3, seed);
   CHECK(fleet.wait_owner(0, 10000) >= 0);
-  const std::uint64_t before = fleet.number();
+  const std::uint64_t before = fleet.highest_ownership_number();
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet.kill(i);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet.start(i);
   CHECK(fleet.wait_owner(before, 10000) >= 0);  // under a new number
   // A disk is lost: its router does not vote, and two voters are enough.
-  const std::uint64_t number = fleet.number();
+  const std::uint64_t number = fleet.highest_ownership_number();
   fleet.kill(0);
   std::filesystem::remove_all(fleet.disk(0));
   fleet.start(0);
@@ -225,9 +225,9 @@
   // It votes now, so one of the two old voters can fail.
   const std::size_t failed = fleet.leader() == 1 ? 1 : 2;
   fleet.kill(failed);
-  CHECK(fleet.wait_owner(fleet.number() - 1, 10000) >= 0);
-  CHECK(fleet.number() >= number);
-  fleet.sound();
+  CHECK(fleet.wait_owner(fleet.highest_ownership_number() - 1, 10000) >= 0);
+  CHECK(fleet.highest_ownership_number() >= number);
+  fleet.check_invariants();
   // A damaged log file: the router reports it and runs without voting.
   const std::string record = fleet.disk(failed) + "/record.log";
   std::string bytes = contents(record);
@@ -256,10 +256,10 @@
     const int before = fleet.owner();
     CHECK(before >= 0);
     if (Fleet::id(static_cast<std::size_t>(before)) == to) continue;
-    const std::uint64_t number = fleet.number();
+    const std::uint64_t number = fleet.highest_ownership_number();
     CHECK(fleet.command(
               {"fleet", "move", kJob, to, "--at", fleet.address(static_cast<std::size_t>(i) % 5)}) == 0);
-    CHECK(within(5000, [&] { return fleet.number() > number && fleet.owner() == i % 5; }));
+    CHECK(within(5000, [&] { return fleet.highest_ownership_number() > number && fleet.owner() == i % 5; }));
     const auto owners = fleet.audit().ownerships();
     gaps.push_back(static_cast<double>(owners.back().from_ms - owners[owners.size() - 2].to_ms));
     fleet.change(i % 2 == 0 ? "Terminating" : "Ready");
@@ -272,7 +272,7 @@
   CHECK(fleet.command({"fleet", "status", fleet.address(3)}) == 0);
   CHECK(fleet.command({"fleet", "jobs", fleet.address(3), "--json"}) == 0);
   CHECK(fleet.command({"fleet", "voters", "127.0.0.1:1"}) == 1);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Many routers, some of which are killed each second and restart.
@@ -303,7 +303,7 @@
     fleet.print_logs();
     CHECK(!"no owner at the end");
   }
-  fleet.all_follow();
+  fleet.wait_until_all_follow();
   double longest = 0;
   const auto owners = fleet.audit().ownerships();
   for (std::size_t i = 1; i < owners.size(); ++i)
@@ -313,7 +313,7 @@
       fleet.size(), owners.size(), longest,
       static_cast<double>(fleet.links.forwarded_datagrams() - forwarded_before) / elapsed_s /
           static_cast<double>(fleet.size()));
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 // Two processes of one name: the later one replaces the earlier one, which continues without the fleet.
@@ -327,17 +327,17 @@
   CHECK(address_position != std::string::npos);
   text.replace(address_position, fleet.links.advertised_address(3).size(), fleet.links.advertised_address(4));
   std::ofstream(second_file) << text;
-  Process second(Start{g_program,
-                       {"serve", "--operator", second_file},
-                       {{"GW_CONFIG", fleet.folder + "/n3.json"}, {"TMPDIR", fleet.folder}},
-                       -1});
+  Process second(ProcessOptions{g_program,
+                                {"serve", "--operator", second_file},
+                                {{"GW_CONFIG", fleet.folder + "/n3.json"}, {"TMPDIR", fleet.folder}},
+                                -1});
   unsigned short port = 0;
   CHECK(within(5000, [&] { return (port = second.port("wire=fleet at=127.0.0.1:")) != 0; }));
   fleet.links.set_listen_port(4, port);
   CHECK(within(10000,
                [&] { return fleet.log(3).find("event=displaced_by_newer_process") != std::string::npos; }));
   CHECK(second.log().find("event=displaced_by_newer_process") == std::string::npos);
-  fleet.sound();
+  fleet.check_invariants();
 }
 
 }  // namespace
