--- a/src/commands/hot_restart_coordinator.cpp
+++ b/src/commands/hot_restart_coordinator.cpp
@@ -48,7 +48,7 @@
   if (!listening.ok())
     log::event(Level::warn, "stream_migration_unavailable",
                {{"why", std::string(listening.message())},
-                {"answers", "not migrated: they end migrate_in the process migrate_in which they started"}});
+                {"answers", "not migrated: they end in the process in which they started"}});
   if (process_slots_.change_descriptor() < 0) return;
   changes_.assign(::dup(process_slots_.change_descriptor()));
   watch_changes();
@@ -117,7 +117,7 @@
   if (!successor_) {
     log::event(
         Level::info, "successor_not_found",
-        {{"others", process_slots_.others().size()}, {"answers", "not migrated: they end migrate_in this process"}});
+        {{"others", process_slots_.others().size()}, {"answers", "not migrated: they end in this process"}});
     return false;
   }
   log::event(Level::info, "successor_selected", {{"slot", *successor_}});
@@ -141,7 +141,7 @@
     if (result == DescriptorPassing::SendResult::no_receiver) {
       log::event(
           Level::warn, "successor_lost",
-          {{"slot", *successor_}, {"answers", "not migrated: the remaining ones end migrate_in this process"}});
+          {{"slot", *successor_}, {"answers", "not migrated: the remaining ones end in this process"}});
       successor_.reset();
     }
     return result == DescriptorPassing::SendResult::sent;
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -47,7 +47,7 @@
 // connections.
 constexpr std::size_t kSpareDescriptors = 32, kGrpcDescriptors = 64, kFleetDescriptors = 8;
 // Client and replica connections share the remaining descriptors: replica connections may always use this
-// share, and clients what the replica connections leave, less some connection_limit for new attempts. With a fixed half
+// share, and clients what the replica connections leave, less some room for new attempts. With a fixed half
 // for the clients, hundreds of idle client connections would fill it.
 constexpr double kReplicaShare = 0.28;
 constexpr int kMaxHandlersPerIteration = 512;
@@ -269,7 +269,8 @@
   http::HttpServer http_server(io, broker, clock,
                                {labels(config), max_client_connections, reserved_descriptors / 2});
   http_server_pointer = &http_server;
-  http_server.on_descriptors_exhausted([&http_replica_client] { return http_replica_client.close_longest_idle(); });
+  http_server.on_descriptors_exhausted(
+      [&http_replica_client] { return http_replica_client.close_longest_idle(); });
   // Two processes may accept from one inherited socket: a starting process leaves the clients to the one that
   // serves.
   const auto may_accept = [&broker, &process_slots] {
