--- a/src/kserve/check.h
+++ b/src/kserve/check.h
@@ -1,6 +1,5 @@
-// Whether a request can be used at all, before a replica is bothered: the tensors of a ModelInferRequest
-// against the protocol (KServe v2, "Tensor Data") and against what the operator's file declares of the model.
-// No I/O.
+// Validates the tensors of a ModelInferRequest before it is sent to a replica: against the protocol (KServe
+// v2, "Tensor Data") and against the model's declaration in the operator file. No I/O.
 #pragma once
 
 #include <optional>
@@ -12,11 +11,11 @@
 
 namespace flintglade::kserve {
 
-// Bytes of an element in raw form, 0 for BYTES, whose elements say their own; none: the protocol has no such
-// datatype.
+// Size in bytes of one element in raw form; 0 for BYTES, whose elements are length-prefixed. Empty if the
+// protocol has no such datatype.
 std::optional<unsigned> element_size(std::string_view datatype);
 
-// Empty, or one plain line that names the tensor and what is wrong with it.
+// Returns an empty string if the request is valid, else a one-line error that names the tensor.
 std::string check_tensors(const inference::ModelInferRequest& request, const Model& model);
 
 }  // namespace flintglade::kserve
--- a/src/kserve/credentials.cpp
+++ b/src/kserve/credentials.cpp
@@ -11,70 +11,74 @@
 namespace flintglade::kserve {
 namespace {
 
-// The library's C++ side has fixed files or a watcher that checks nothing; its C side asks for the material
-// at each handshake, which is what a checked reload needs.
-class Fetched final : public grpc::ServerCredentials {
+// gRPC's C++ API offers fixed files or a file watcher that validates nothing. Its C API requests the material
+// at each handshake, so material can be validated before it replaces the current one.
+class FetchingServerCredentials final : public grpc::ServerCredentials {
  public:
-  Fetched(const tls::CertificateProvider& certificate_provider, bool clients_need_one)
+  FetchingServerCredentials(const tls::CertificateProvider& certificate_provider,
+                            bool require_client_certificate)
       : certificate_provider_(certificate_provider) {
     credentials_ = grpc_ssl_server_credentials_create_with_options(
         grpc_ssl_server_credentials_create_options_using_config_fetcher(
-            clients_need_one ? GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY
-                             : GRPC_SSL_DONT_REQUEST_CLIENT_CERTIFICATE,
-            &Fetched::fetch, this));
+            require_client_certificate ? GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY
+                                       : GRPC_SSL_DONT_REQUEST_CLIENT_CERTIFICATE,
+            &FetchingServerCredentials::fetch, this));
   }
-  ~Fetched() override { grpc_server_credentials_release(credentials_); }
+  ~FetchingServerCredentials() override { grpc_server_credentials_release(credentials_); }
   void SetAuthMetadataProcessor(const std::shared_ptr<grpc::AuthMetadataProcessor>&) override {}
 
  private:
-  int AddPortToServer(const std::string& at, grpc_server* server) override {
-    return grpc_server_add_http2_port(server, at.c_str(), credentials_);
+  int AddPortToServer(const std::string& address, grpc_server* server) override {
+    return grpc_server_add_http2_port(server, address.c_str(), credentials_);
   }
-  // One caller at a time: gRPC holds a lock of its own around it.
+  // gRPC calls this under its own lock, so calls never overlap.
   static grpc_ssl_certificate_config_reload_status fetch(void* self,
                                                          grpc_ssl_server_certificate_config** out) {
-    auto& me = *static_cast<Fetched*>(self);
-    const std::uint64_t generation = me.certificate_provider_.generation();
-    if (generation == me.fetched_) return GRPC_SSL_CERTIFICATE_CONFIG_RELOAD_UNCHANGED;
-    const tls::Material m = me.certificate_provider_.current();
-    const grpc_ssl_pem_key_cert_pair pair{m.key.c_str(), m.certificate.c_str()};
-    // gRPC 1.51 aborts where a fetched configuration has no roots, wanted or not. Where no client is asked
-    // for a certificate nobody reads them, and the server's own stands in.
-    const std::string& roots = m.roots.empty() ? m.certificate : m.roots;
+    auto& credentials = *static_cast<FetchingServerCredentials*>(self);
+    const std::uint64_t generation = credentials.certificate_provider_.generation();
+    if (generation == credentials.fetched_generation_) return GRPC_SSL_CERTIFICATE_CONFIG_RELOAD_UNCHANGED;
+    const tls::Material material = credentials.certificate_provider_.current();
+    const grpc_ssl_pem_key_cert_pair pair{material.key.c_str(), material.certificate.c_str()};
+    // gRPC 1.51 aborts if a fetched configuration has no roots, even when they are not used. Without client
+    // certificates the roots are never read, so the server's own certificate serves as a placeholder.
+    const std::string& roots = material.roots.empty() ? material.certificate : material.roots;
     *out = grpc_ssl_server_certificate_config_create(roots.c_str(), &pair, 1);
     if (*out == nullptr) return GRPC_SSL_CERTIFICATE_CONFIG_RELOAD_FAIL;
-    me.fetched_ = generation;
+    credentials.fetched_generation_ = generation;
     return GRPC_SSL_CERTIFICATE_CONFIG_RELOAD_NEW;
   }
   const tls::CertificateProvider& certificate_provider_;
-  std::uint64_t fetched_ = 0;
+  std::uint64_t fetched_generation_ = 0;
   grpc_server_credentials* credentials_;
 };
 
-void to_our_log(gpr_log_func_args* args) {
+void log_grpc_error(gpr_log_func_args* args) {
   if (args->severity != GPR_LOG_SEVERITY_ERROR) return;
-  std::string_view text = args->message;
-  log::event(log::Level::warn, text.find("andshake") != std::string_view::npos ? "handshake_failed" : "grpc",
-             {{"why", text}});
-  // The library aborts after this; what stands in our queue would be lost with it.
-  if (text.starts_with("assertion failed")) log::flush();
+  std::string_view message = args->message;
+  log::event(log::Level::warn,
+             message.find("andshake") != std::string_view::npos ? "handshake_failed" : "grpc",
+             {{"why", message}});
+  // gRPC aborts the process after this message; counts of collapsed events that are not yet written would be
+  // lost.
+  if (message.starts_with("assertion failed")) log::flush();
 }
 
 }  // namespace
 
 std::shared_ptr<grpc::ServerCredentials> server_credentials(
-    const tls::CertificateProvider& certificate_provider, bool clients_need_one) {
-  return std::make_shared<Fetched>(certificate_provider, clients_need_one);
+    const tls::CertificateProvider& certificate_provider, bool require_client_certificate) {
+  return std::make_shared<FetchingServerCredentials>(certificate_provider, require_client_certificate);
 }
 
 std::shared_ptr<grpc::ChannelCredentials> channel_credentials(const tls::Material& material) {
   return grpc::SslCredentials({material.roots, material.key, material.certificate});
 }
 
-std::string channel_target(const config::HostPort& at) {
-  return (at.host.find(':') != std::string::npos ? "ipv6:" : "ipv4:") + config::host_port(at.host, at.port);
+std::string channel_target(const config::HostPort& address) {
+  return (address.host.find(':') != std::string::npos ? "ipv6:" : "ipv4:") +
+         config::host_port(address.host, address.port);
 }
 
-void log_through_ours() { gpr_set_log_function(&to_our_log); }
+void log_through_ours() { gpr_set_log_function(&log_grpc_error); }
 
 }  // namespace flintglade::kserve
--- a/src/kserve/credentials.h
+++ b/src/kserve/credentials.h
@@ -1,4 +1,4 @@
-// gRPC's own credentials, from material that may change while the server runs.
+// gRPC credentials built from certificates and keys that may be replaced while the server runs.
 #pragma once
 
 #include <grpcpp/security/credentials.h>
@@ -13,18 +13,19 @@
 
 namespace flintglade::kserve {
 
-// Each handshake takes what the provider has in force then; connections that are up keep what they began
-// with. With clients_need_one, a client without a certificate by one of the roots is refused in its
-// handshake. The provider must outlive the server.
+// Each handshake uses the provider's current material; established connections keep the material they started
+// with. With require_client_certificate, the handshake of a client without a certificate issued by one of the
+// roots fails. The provider must outlive the server.
 std::shared_ptr<grpc::ServerCredentials> server_credentials(
-    const tls::CertificateProvider& certificate_provider, bool clients_need_one);
+    const tls::CertificateProvider& certificate_provider, bool require_client_certificate);
 
 std::shared_ptr<grpc::ChannelCredentials> channel_credentials(const tls::Material& material);
 
-// What gRPC calls a numeric address: no name is looked up.
-std::string channel_target(const config::HostPort& at);
+// The gRPC target for a numeric address, which gRPC does not resolve by DNS.
+std::string channel_target(const config::HostPort& address);
 
-// gRPC tells of handshakes that failed by its own log only. From here on its errors are events of ours.
+// Writes gRPC's error messages as events to this project's log: gRPC reports failed handshakes only in its
+// own log. Applies to the whole process.
 void log_through_ours();
 
 }  // namespace flintglade::kserve
--- a/src/kserve/descriptions.cpp
+++ b/src/kserve/descriptions.cpp
@@ -9,26 +9,28 @@
 Descriptions::Found Descriptions::find(const Key& key, Micros now) {
   const auto it = entries_.find(key);
   if (it == entries_.end()) return {};
-  Entry& e = it->second;
-  e.used = now;
-  if (e.state == State::unknown)
-    return {now - e.learnt < settings_.again ? State::unknown : State::absent, nullptr};
-  if (e.state == State::absent || now - e.learnt >= settings_.ttl + settings_.stale) return {};
-  return {State::known, &e.said};
+  Entry& entry = it->second;
+  entry.used_at = now;
+  if (entry.state == State::unknown)
+    return {now - entry.learned_at < settings_.retry_delay ? State::unknown : State::absent, nullptr};
+  if (entry.state == State::absent || now - entry.learned_at >= settings_.ttl + settings_.max_stale)
+    return {};
+  return {State::known, &entry.said};
 }
 
 bool Descriptions::ask(const Key& key, Micros now) {
   auto it = entries_.find(key);
   if (it == entries_.end()) {
-    if (entries_.size() >= settings_.entries && !make_room()) return false;
+    if (entries_.size() >= settings_.entries && !evict_one()) return false;
     it = entries_.try_emplace(key).first;
   }
-  Entry& e = it->second;
-  e.used = now;
-  const bool fresh = (e.state == State::known && now - e.learnt < settings_.ttl) ||
-                     (e.state == State::unknown && now - e.learnt < settings_.again);
-  if (e.asking || fresh || (e.tried >= 0 && now - e.tried < settings_.again)) return false;
-  return e.asking = true;
+  Entry& entry = it->second;
+  entry.used_at = now;
+  const bool fresh = (entry.state == State::known && now - entry.learned_at < settings_.ttl) ||
+                     (entry.state == State::unknown && now - entry.learned_at < settings_.retry_delay);
+  if (entry.asking || fresh || (entry.failed_at >= 0 && now - entry.failed_at < settings_.retry_delay))
+    return false;
+  return entry.asking = true;
 }
 
 bool Descriptions::asking(const Key& key) const {
@@ -37,35 +39,35 @@
 }
 
 void Descriptions::told(const Key& key, inference::ModelMetadataResponse said, Micros now) {
-  Entry& e = entries_[key];
-  e.state = State::known;
-  e.asking = false;
-  e.learnt = now;
-  e.tried = -1;
-  e.said = std::move(said);
+  Entry& entry = entries_[key];
+  entry.state = State::known;
+  entry.asking = false;
+  entry.learned_at = now;
+  entry.failed_at = -1;
+  entry.said = std::move(said);
 }
 
 void Descriptions::told_unknown(const Key& key, Micros now) {
-  Entry& e = entries_[key];
-  e.state = State::unknown;
-  e.asking = false;
-  e.learnt = now;
-  e.tried = -1;
-  e.said.Clear();
+  Entry& entry = entries_[key];
+  entry.state = State::unknown;
+  entry.asking = false;
+  entry.learned_at = now;
+  entry.failed_at = -1;
+  entry.said.Clear();
 }
 
-// What was known stays known: a fleet that does not answer has not changed its models.
+// Keeps a known description: replicas that do not answer have not changed their models.
 void Descriptions::failed(const Key& key, Micros now) {
-  Entry& e = entries_[key];
-  e.asking = false;
-  e.tried = now;
+  Entry& entry = entries_[key];
+  entry.asking = false;
+  entry.failed_at = now;
 }
 
-// Lets the one go that was looked for longest ago; one that is being asked about has somebody waiting.
-bool Descriptions::make_room() {
+// Evicts the least recently used entry. Entries with a query in progress stay, because callers wait for them.
+bool Descriptions::evict_one() {
   auto oldest = entries_.end();
   for (auto it = entries_.begin(); it != entries_.end(); ++it) {
-    if (!it->second.asking && (oldest == entries_.end() || it->second.used < oldest->second.used))
+    if (!it->second.asking && (oldest == entries_.end() || it->second.used_at < oldest->second.used_at))
       oldest = it;
   }
   if (oldest == entries_.end()) return false;
--- a/src/kserve/descriptions.h
+++ b/src/kserve/descriptions.h
@@ -1,5 +1,5 @@
-// What replicas say of models that the operator's file does not describe: a bounded cache, and when to ask.
-// No I/O; time is handed in (monotonic microseconds).
+// A bounded cache of the replicas' descriptions of models that the operator file does not describe; decides
+// when a replica has to be asked. No I/O; the caller passes the time (monotonic microseconds).
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,29 @@
 
 struct DescriptionSettings {
   std::size_t entries = 64;
-  core::Micros ttl = 60 * core::kSecond;      // then a replica is asked anew; the old word serves meanwhile
-  core::Micros stale = 3600 * core::kSecond;  // and for so long after that, if none answers
-  core::Micros again = core::kSecond;         // between asks that failed, and how long 'unknown' is believed
+  // After the TTL a replica is asked again; the cached description is served meanwhile.
+  core::Micros ttl = 60 * core::kSecond;
+  // How long after the TTL it is still served if no replica answers.
+  core::Micros max_stale = 3600 * core::kSecond;
+  // After a failed query; also how long an `unknown` answer is cached.
+  core::Micros retry_delay = core::kSecond;
 };
 
 class Descriptions {
  public:
-  using Key = std::pair<std::string, std::string>;  // model, version ("" for none named)
+  using Key = std::pair<std::string, std::string>;  // model, version ("" if the request has none)
   explicit Descriptions(DescriptionSettings settings) : settings_(settings) {}
 
-  enum class State { absent, known, unknown };  // unknown: replicas say that there is no such model
+  enum class State { absent, known, unknown };  // unknown: the replicas have no such model
   struct Found {
     State state = State::absent;
-    const inference::ModelMetadataResponse* said = nullptr;  // until the next call that is not const
+    const inference::ModelMetadataResponse* said = nullptr;  // valid until the next non-const call
   };
   Found find(const Key& key, core::Micros now);
-  // Whether to ask a replica now. True once for each ask: one of told, told_unknown and failed has to follow.
+  // Whether to ask a replica now. If true, the query counts as started: the caller must report its result
+  // with set_known, set_unknown or failed.
   bool ask(const Key& key, core::Micros now);
-  // An ask is under way; absent answers are worth waiting for.
+  // Whether a query is in progress, so that an absent description may arrive soon.
   bool asking(const Key& key) const;
   void told(const Key& key, inference::ModelMetadataResponse said, core::Micros now);
   void told_unknown(const Key& key, core::Micros now);
@@ -43,10 +47,10 @@
   struct Entry {
     State state = State::absent;
     bool asking = false;
-    core::Micros learnt = 0, tried = -1, used = 0;  // tried: when an ask last failed; -1: it did not
+    core::Micros learned_at = 0, failed_at = -1, used_at = 0;  // failed_at: -1 if the last query was answered
     inference::ModelMetadataResponse said;
   };
-  bool make_room();
+  bool evict_one();
   DescriptionSettings settings_;
   std::map<Key, Entry> entries_;
 };
--- a/src/kserve/mapping.h
+++ b/src/kserve/mapping.h
@@ -1,7 +1,7 @@
-// What a request says of itself, for clients that know nothing of this router: class, tenant, session,
-// lengths and patience from our own metadata, other metadata, request parameters, the client's certificate,
-// the model, or a default; in that order. But a certificate that is bound to a tenant speaks for that one
-// only. No I/O.
+// Derives a request's labels (class, tenant, session, lengths and timeout), also for clients that do not know
+// this router. Sources, in order of precedence: this router's own metadata keys, other metadata, request
+// parameters, the client's certificate, the model, a default. A certificate that is bound to a tenant permits
+// that tenant only. No I/O.
 #pragma once
 
 #include <functional>
@@ -17,27 +17,28 @@
 
 namespace flintglade::kserve {
 
-// Metadata by name; empty where there is none.
+// Looks up metadata by name; empty if there is none.
 using FindMetadata = std::function<std::string_view(const std::string& name)>;
 
-struct Mapped {  // owns what config::RequestLabels points at
+struct MappedLabels {  // owns the strings that config::RequestLabels refers to
   std::string request_class, tenant, session, prefix, prompt_tokens, prefix_tokens, output_cap, expires_ms,
-      again;
-  std::string denied;  // what it may not claim; empty: nothing
+      second_try;
+  std::string denied;  // why the client may not use these labels; empty: it may
   config::RequestLabels labels() const;
 };
 
-// bound: what the client's certificate stands for; null: nothing.
-Mapped map_request(const inference::ModelInferRequest& request, const Model& model, const Mapping& mapping,
-                   const FindMetadata& metadata, const Bound* bound = nullptr);
+// bound: the binding of the client's certificate; null: none.
+MappedLabels map_request(const inference::ModelInferRequest& request, const Model& model,
+                         const Mapping& mapping, const FindMetadata& metadata, const Bound* bound = nullptr);
 
-// The first of the operator's bindings that one of a certificate's names meets.
+// The first of the operator's bindings that matches one of a certificate's subject alternative names.
 const Bound* find_bound(const std::vector<Bound>& bound, const std::vector<std::string>& sans);
 
-// For 'flintglade check': one line a field, with its sources in order.
+// For 'flintglade check': one line per field, with its sources in order of precedence.
 std::string describe(const Mapping& mapping);
 
-// Of a client's metadata, what a replica is to have too: all but what belongs to one hop or to us.
+// Whether a client's metadata is forwarded to a replica: all is, except metadata that concerns one hop only
+// or is meant for this router.
 bool passes_on(std::string_view name);
 
 }  // namespace flintglade::kserve
--- a/src/kserve/models.cpp
+++ b/src/kserve/models.cpp
@@ -8,8 +8,8 @@
 
 std::vector<Tensor> tensors(const google::protobuf::RepeatedPtrField<deploy::Tensor>& from) {
   std::vector<Tensor> out;
-  for (const deploy::Tensor& t : from)
-    out.push_back({t.name(), t.datatype(), {t.shape().begin(), t.shape().end()}});
+  for (const deploy::Tensor& tensor : from)
+    out.push_back({tensor.name(), tensor.datatype(), {tensor.shape().begin(), tensor.shape().end()}});
   return out;
 }
 
@@ -23,71 +23,75 @@
 }  // namespace
 
 const std::string& Model::highest_version() const {
-  static const std::string kNone;
-  // Numbers may have any length: by length, without leading zeros, then by digits. What is no number is
-  // lower.
-  const auto rank = [](const std::string& v) {
-    const bool number = !v.empty() && v.find_first_not_of("0123456789") == std::string::npos;
-    const std::string digits = v.substr(std::min(v.find_first_not_of('0'), v.size()));
-    return std::tuple(number, number ? digits.size() : 0, number ? digits : v);
+  static const std::string kNoVersion;
+  // Numbers may have any length, so they are compared without leading zeros by length, then by digits. A
+  // version that is not a number ranks below all numbers.
+  const auto rank = [](const std::string& version) {
+    const bool number = !version.empty() && version.find_first_not_of("0123456789") == std::string::npos;
+    const std::string digits = version.substr(std::min(version.find_first_not_of('0'), version.size()));
+    return std::tuple(number, number ? digits.size() : 0, number ? digits : version);
   };
   const auto it =
       std::max_element(versions.begin(), versions.end(),
                        [&](const std::string& a, const std::string& b) { return rank(a) < rank(b); });
-  return it == versions.end() ? kNone : *it;
+  return it == versions.end() ? kNoVersion : *it;
 }
 
 const Model* ServerSettings::find(std::string_view name, std::string_view version) const {
-  const auto it = std::find_if(models.begin(), models.end(), [&](const Model& m) { return m.name == name; });
+  const auto it =
+      std::find_if(models.begin(), models.end(), [&](const Model& model) { return model.name == name; });
   if (it == models.end()) return nullptr;
-  const bool known = version.empty() || it->versions.empty() ||
-                     std::find(it->versions.begin(), it->versions.end(), version) != it->versions.end();
-  return known ? &*it : nullptr;
+  const bool has_version = version.empty() || it->versions.empty() ||
+                           std::find(it->versions.begin(), it->versions.end(), version) != it->versions.end();
+  return has_version ? &*it : nullptr;
 }
 
 ServerSettings front_settings(const deploy::KServe& file) {
   ServerSettings out;
   config::parse_host_port(file.listen(), out.listen);
   out.replica_port = static_cast<std::uint16_t>(file.replica_port());
-  for (const deploy::Model& m : file.models()) {
-    out.models.push_back({m.name(),
-                          m.platform(),
-                          {m.versions().begin(), m.versions().end()},
-                          tensors(m.inputs()),
-                          tensors(m.outputs()),
-                          m.class_(),
-                          m.tenant(),
-                          m.decoupled()});
+  for (const deploy::Model& model : file.models()) {
+    out.models.push_back({model.name(),
+                          model.platform(),
+                          {model.versions().begin(), model.versions().end()},
+                          tensors(model.inputs()),
+                          tensors(model.outputs()),
+                          model.class_(),
+                          model.tenant(),
+                          model.decoupled()});
   }
-  const deploy::Mapping& m = file.mapping();
-  out.mapping = {field(m.class_()),        field(m.tenant()),        field(m.session()),
-                 field(m.prefix()),        field(m.prompt_tokens()), field(m.prefix_tokens()),
-                 field(m.output_tokens()), field(m.timeout_us())};
+  const deploy::Mapping& mapping = file.mapping();
+  out.mapping = {field(mapping.class_()),        field(mapping.tenant()),
+                 field(mapping.session()),       field(mapping.prefix()),
+                 field(mapping.prompt_tokens()), field(mapping.prefix_tokens()),
+                 field(mapping.output_tokens()), field(mapping.timeout_us())};
   out.reflection = file.reflection();
   out.check_tensors = file.check_tensors();
   out.pass_metadata = file.pass_metadata();
   out.errors_in_band = file.errors_in_band();
-  const deploy::Limits& l = file.limits();
-  if (l.has_streams()) out.limits.streams = l.streams();
-  if (l.has_streams_per_connection()) out.limits.streams_per_connection = l.streams_per_connection();
-  if (l.has_transport_mb()) out.limits.transport_mb = l.transport_mb();
-  if (l.has_first_request_s()) out.limits.first_request_s = l.first_request_s();
-  if (l.has_connection_age_s()) out.limits.connection_age_s = l.connection_age_s();
-  if (l.has_least_ping_s()) out.limits.least_ping_s = l.least_ping_s();
-  if (l.has_connections()) out.limits.connections = l.connections();
-  if (l.has_connection_idle_s()) out.limits.connection_idle_s = l.connection_idle_s();
-  if (l.has_replica_ping_s()) out.limits.replica_ping_s = l.replica_ping_s();
+  const deploy::Limits& limits = file.limits();
+  if (limits.has_streams()) out.limits.streams = limits.streams();
+  if (limits.has_streams_per_connection())
+    out.limits.streams_per_connection = limits.streams_per_connection();
+  if (limits.has_transport_mb()) out.limits.transport_mb = limits.transport_mb();
+  if (limits.has_first_request_s()) out.limits.first_request_s = limits.first_request_s();
+  if (limits.has_connection_age_s()) out.limits.connection_age_s = limits.connection_age_s();
+  if (limits.has_least_ping_s()) out.limits.least_ping_s = limits.least_ping_s();
+  if (limits.has_connections()) out.limits.connections = limits.connections();
+  if (limits.has_connection_idle_s()) out.limits.connection_idle_s = limits.connection_idle_s();
+  if (limits.has_replica_ping_s()) out.limits.replica_ping_s = limits.replica_ping_s();
   if (file.has_stream_requests()) out.stream_requests = file.stream_requests();
-  const deploy::ReplicaMetadata& said = file.replica_metadata();
+  const deploy::ReplicaMetadata& replica_metadata = file.replica_metadata();
   out.replica_metadata.on = file.has_replica_metadata();
-  if (said.has_entries()) out.replica_metadata.entries = said.entries();
-  if (said.has_ttl_s()) out.replica_metadata.ttl_s = said.ttl_s();
-  if (said.has_stale_s()) out.replica_metadata.stale_s = said.stale_s();
+  if (replica_metadata.has_entries()) out.replica_metadata.entries = replica_metadata.entries();
+  if (replica_metadata.has_ttl_s()) out.replica_metadata.ttl_s = replica_metadata.ttl_s();
+  if (replica_metadata.has_stale_s()) out.replica_metadata.stale_s = replica_metadata.stale_s();
   out.fill_version = file.fill_version();
   out.gzip = file.gzip();
   out.tls = file.has_tls();
   out.bound_only = file.tls().bound_only();
-  for (const deploy::Bound& b : file.tls().bound()) out.bound.push_back({b.san(), b.tenant(), b.class_()});
+  for (const deploy::Bound& binding : file.tls().bound())
+    out.bound.push_back({binding.san(), binding.tenant(), binding.class_()});
   return out;
 }
 
@@ -95,8 +99,8 @@
   return {file.tls().certificate(), file.tls().key(), file.tls().client_ca()};
 }
 tls::Files replica_files(const deploy::KServe& file) {
-  const deploy::ReplicaTls& r = file.replica_tls();
-  return {r.certificate(), r.key(), r.ca()};
+  const deploy::ReplicaTls& replica_tls = file.replica_tls();
+  return {replica_tls.certificate(), replica_tls.key(), replica_tls.ca()};
 }
 
 }  // namespace flintglade::kserve
--- a/src/kserve/models.h
+++ b/src/kserve/models.h
@@ -1,4 +1,5 @@
-// What the operator's file says of the KServe front: where it listens and which models it stands for.
+// Settings of the KServe front end from the operator file: the listen address, the models that it serves, the
+// label mapping and the limits. Fields with the name of a setting are described in proto/operator.proto.
 #pragma once
 
 #include <cstdint>
@@ -21,9 +22,9 @@
   std::string name, platform;
   std::vector<std::string> versions;
   std::vector<Tensor> inputs, outputs;
-  std::string request_class, tenant;           // of requests that say none
-  bool decoupled = false;                      // may answer with no message
-  const std::string& highest_version() const;  // of those listed, in numbers; empty: none is
+  std::string request_class, tenant;           // of requests that state none
+  bool decoupled = false;                      // a response may consist of no message at all
+  const std::string& highest_version() const;  // compared as numbers; empty if none is listed
 };
 struct MappedField {
   std::vector<std::string> metadata, parameters;
@@ -43,12 +44,12 @@
   std::size_t entries = 64;
   double ttl_s = 60.0, stale_s = 3600.0;
 };
-struct Bound {  // a certificate with this name speaks for this tenant
+struct Bound {  // a client certificate with this subject alternative name may act for this tenant
   std::string san, tenant, request_class;
 };
 struct ServerSettings {
   config::HostPort listen;
-  // Where replicas speak gRPC: this port at the address that discovery gives; 0: the very endpoint.
+  // The gRPC port of the replicas, at the host that discovery gives; 0: the port that discovery gives.
   std::uint16_t replica_port = 0;
   std::vector<Model> models;
   Mapping mapping;
@@ -63,7 +64,7 @@
   const Model* find(std::string_view name, std::string_view version) const;
 };
 
-// Of a file that operator_file::parse has checked.
+// The file must have been validated by operator_file::parse.
 tls::Files front_files(const deploy::KServe& file);
 tls::Files replica_files(const deploy::KServe& file);
 ServerSettings front_settings(const deploy::KServe& file);
--- a/src/kserve/names.h
+++ b/src/kserve/names.h
@@ -1,4 +1,4 @@
-// The metadata keys and method names of the KServe front. docs/kserve.md documents them.
+// The metadata keys and method names of the KServe front end. docs/kserve.md documents them.
 #pragma once
 
 #include <grpcpp/support/byte_buffer.h>
@@ -8,21 +8,21 @@
 
 namespace flintglade::kserve {
 
-// What a client says of its request.
+// Request metadata from clients.
 inline constexpr char kClass[] = "flintglade-class", kTenant[] = "flintglade-tenant",
                       kSession[] = "flintglade-session", kPrefix[] = "flintglade-prefix",
                       kPromptTokens[] = "flintglade-prompt-tokens",
                       kPrefixTokens[] = "flintglade-prefix-tokens", kMaxOut[] = "flintglade-max-out",
                       kExpires[] = "flintglade-expires-in-ms", kSecondTry[] = "flintglade-second-try",
                       kTrace[] = "flintglade-trace-id";
-// What a replica says in its trailing metadata.
+// Trailing metadata from replicas.
 inline constexpr char kNeverRan[] = "flintglade-never-ran", kCachedTokens[] = "flintglade-cached-tokens";
-// The standard word to a client's retry policy: milliseconds, or -1 for not at all.
+// The standard hint to a client's retry policy: milliseconds until a retry is welcome, or -1 for no retry.
 inline constexpr char kPushback[] = "grpc-retry-pushback-ms";
 
 inline constexpr std::string_view kInfer = "/inference.GRPCInferenceService/ModelInfer",
                                   kStreamInfer = "/inference.GRPCInferenceService/ModelStreamInfer";
-inline constexpr int kLargestMessage = 256 << 10;
+inline constexpr int kMaxMessageBytes = 256 << 10;
 
 inline grpc::ByteBuffer to_buffer(std::string_view bytes) {
   const grpc::Slice slice(bytes.data(), bytes.size());
@@ -33,8 +33,8 @@
   if (!buffer.DumpToSingleSlice(&slice).ok()) return "";
   return {reinterpret_cast<const char*>(slice.begin()), slice.size()};
 }
-// A name that a client chose, in the form that a header can carry: a client's id may hold any bytes, any
-// number of them. gRPC ends the whole process over a value with others; the conformance suite found it with
+// Encodes a client-chosen name as a valid header value: a client's id may contain any bytes and have any
+// length. gRPC aborts the process on a header value with invalid bytes; the conformance suite found this with
 // an id in UTF-8.
 std::string header_value(std::string_view name);
 
--- a/src/kserve/replica_client.cpp
+++ b/src/kserve/replica_client.cpp
@@ -22,81 +22,85 @@
 
 namespace {
 
-constexpr int kPingTimeout = 2000;  // ms
-constexpr std::chrono::seconds kAnswerTime{1};
-constexpr int kQuestionTries = 2;
-
-// gRPC may not send anything again by itself (each arrival at a replica is an attempt), nor wait long before
-// it connects anew, nor look for a proxy.
-std::shared_ptr<grpc::Channel> open_channel(const config::HostPort& at, const ReplicaClientSettings& set) {
-  const std::string target = channel_target(at);
-  grpc::ChannelArguments args;
-  args.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
-  args.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
-  args.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 100);
-  args.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
-  args.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-  args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-  if (set.ping > 0) {
-    args.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, static_cast<int>(set.ping / core::kMilli));
-    args.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, kPingTimeout);
-    args.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);  // as long as the call is open
+constexpr int kPingTimeoutMs = 2000;
+constexpr std::chrono::seconds kQueryTimeout{1};
+constexpr int kMaxQueryTries = 2;
+
+// Disables gRPC's own retries (each arrival at a replica must be an attempt of the router), long reconnect
+// backoff and the use of a proxy.
+std::shared_ptr<grpc::Channel> open_channel(const config::HostPort& address,
+                                            const ReplicaClientSettings& settings) {
+  const std::string target = channel_target(address);
+  grpc::ChannelArguments arguments;
+  arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
+  arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
+  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 100);
+  arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
+  arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
+  arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
+  if (settings.ping > 0) {
+    arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, static_cast<int>(settings.ping / core::kMilli));
+    arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, kPingTimeoutMs);
+    arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);  // no limit while a call is open
   }
-  args.SetMaxReceiveMessageSize(kLargestMessage);
-  args.SetInt(GRPC_COMPRESSION_CHANNEL_ENABLED_ALGORITHMS_BITSET, 1 << GRPC_COMPRESS_NONE);
-  if (set.keys == nullptr) return grpc::CreateCustomChannel(target, grpc::InsecureChannelCredentials(), args);
-  args.SetSslTargetNameOverride(set.server_name.empty() ? at.host : set.server_name);
-  return grpc::CreateCustomChannel(target, channel_credentials(set.keys->current()), args);
+  arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
+  arguments.SetInt(GRPC_COMPRESSION_CHANNEL_ENABLED_ALGORITHMS_BITSET, 1 << GRPC_COMPRESS_NONE);
+  if (settings.certificate_provider == nullptr)
+    return grpc::CreateCustomChannel(target, grpc::InsecureChannelCredentials(), arguments);
+  arguments.SetSslTargetNameOverride(settings.server_name.empty() ? address.host : settings.server_name);
+  return grpc::CreateCustomChannel(target, channel_credentials(settings.certificate_provider->current()),
+                                   arguments);
 }
 
 }  // namespace
 
-// One call attempt. Both methods are run as a stream of messages, which is what they are on the wire. What
-// the reactor is told on gRPC's threads is posted to the loop; every member but the buffers lives there.
+// The gRPC call of one attempt. Both methods run as a stream of messages, which they are on the wire. The
+// reactor's callbacks arrive on gRPC's threads and are posted to the event loop; all members except the
+// buffers are used on the event loop only.
 class GrpcReplicaClient::Call final : public grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer>,
                                       public std::enable_shared_from_this<Call> {
  public:
   Call(GrpcReplicaClient& owner, core::AttemptId id, std::shared_ptr<const core::Request> rpc,
-       Micros patience)
-      : owner_(owner), io_(owner.io_), id_(id), rpc_(std::move(rpc)), dial_(owner.io_) {
-    streams_ = rpc_->target == kStreamInfer;
+       Micros first_event_timeout)
+      : owner_(owner), io_(owner.io_), id_(id), rpc_(std::move(rpc)), dial_timer_(owner.io_) {
+    is_stream_ = rpc_->target == kStreamInfer;
     context_.AddMetadata(kTrace, header_value(rpc_->trace_id));
     for (const auto& [name, value] : rpc_->metadata) context_.AddMetadata(name, value);
-    context_.AddMetadata(kExpires, std::to_string(std::max<Micros>(1, patience / core::kMilli)));
+    context_.AddMetadata(kExpires, std::to_string(std::max<Micros>(1, first_event_timeout / core::kMilli)));
     ++owner_.unfinished_;
   }
 
   void start(const std::shared_ptr<grpc::Channel>& channel, Micros dial) {
-    self_ = shared_from_this();  // until gRPC is done with it
+    self_ = shared_from_this();  // released in OnDone
     stub_ = std::make_unique<grpc::TemplatedGenericStub<grpc::ByteBuffer, grpc::ByteBuffer>>(channel);
     stub_->PrepareBidiStreamingCall(&context_, rpc_->target, {}, this);
-    AddHold();  // reads are started from the loop
-    out_ = to_buffer(rpc_->body);
-    StartWriteLast(&out_, grpc::WriteOptions());
+    AddHold();  // needed because reads are started outside the reactor's callbacks
+    request_buffer_ = to_buffer(rpc_->body);
+    StartWriteLast(&request_buffer_, grpc::WriteOptions());
     reading_ = true;
-    StartRead(&in_);
+    StartRead(&response_buffer_);
     StartCall();
-    // A connection that does not come up in time is given up; it is also never to carry a call whose replica
-    // has since drained, which gRPC, once connected, would not ask about.
-    dial_.expires_after(std::chrono::microseconds(dial));
-    dial_.async_wait([self = self_](boost::system::error_code ec) {
-      if (!ec && !self->written_ && !self->dropped_) self->context_.TryCancel();
+    // Cancels the call if the request is not written in time. This also keeps gRPC, which knows nothing of
+    // draining, from sending the request over a late connection to a replica that has started to drain.
+    dial_timer_.expires_after(std::chrono::microseconds(dial));
+    dial_timer_.async_wait([self = self_](boost::system::error_code ec) {
+      if (!ec && !self->written_ && !self->cancelled_) self->context_.TryCancel();
     });
   }
 
   void cancel() {
-    dropped_ = true;
-    dial_.cancel();
+    cancelled_ = true;
+    dial_timer_.cancel();
     context_.TryCancel();
-    if (!reading_) let_go();
+    if (!reading_) release_hold();
   }
 
   void pause(bool paused) {
     paused_ = paused;
-    read_on();
+    read_next();
   }
 
-  // ---- on gRPC's threads ----
+  // ---- called on gRPC's threads ----
   void OnWriteDone(bool ok) override {
     post([this, ok] {
       written_ = ok;
@@ -104,63 +108,64 @@
     });
   }
   void OnReadDone(bool ok) override {
-    post([this, ok] { got(ok); });
+    post([this, ok] { on_read(ok); });
   }
   void OnDone(const grpc::Status& status) override {
-    post([this, status] { done(status); });
+    post([this, status] { on_done(status); });
   }
 
  private:
   template <typename F>
-  void post(F f) {
-    boost::asio::post(io_, [self = shared_from_this(), f = std::move(f)] { f(); });
+  void post(F handler) {
+    boost::asio::post(io_, [self = shared_from_this(), handler = std::move(handler)] { handler(); });
   }
 
-  void got(bool ok) {
+  void on_read(bool ok) {
     reading_ = false;
-    if (!ok || dropped_) return let_go();
-    std::string bytes = to_string(in_);
-    if (!began_ && streams_) {
+    if (!ok || cancelled_) return release_hold();
+    std::string bytes = to_string(response_buffer_);
+    if (!response_started_ && is_stream_) {
       inference::ModelStreamInferResponse first;
-      // An error instead of a first answer is no answer: another replica may still give one.
+      // An error as the first message is not a response: another replica may still give one.
       if (!first.ParseFromString(bytes) || (!first.error_message().empty() && !first.has_infer_response())) {
         context_.TryCancel();
-        return let_go();
+        return release_hold();
       }
     }
-    began_ = true;
+    response_started_ = true;
     owner_.broker_.on_attempt_events(id_, std::move(bytes));
-    read_on();
+    read_next();
   }
 
-  void read_on() {
-    if (reading_ || paused_ || dropped_ || let_go_) return;
+  void read_next() {
+    if (reading_ || paused_ || cancelled_ || hold_released_) return;
     reading_ = true;
-    StartRead(&in_);
+    StartRead(&response_buffer_);
   }
 
-  void let_go() {
-    if (std::exchange(let_go_, true)) return;
+  void release_hold() {
+    if (std::exchange(hold_released_, true)) return;
     RemoveHold();
   }
 
-  void done(const grpc::Status& status) {
-    dial_.cancel();
+  void on_done(const grpc::Status& status) {
+    dial_timer_.cancel();
     --owner_.unfinished_;
-    const auto keep = std::exchange(self_, nullptr);
-    if (dropped_) return;
-    std::uint32_t kept = 0;
+    const auto keep_alive = std::exchange(self_, nullptr);
+    if (cancelled_) return;
+    std::uint32_t cached_tokens = 0;
     const auto& trailing = context_.GetServerTrailingMetadata();
-    const std::string_view cached = find_metadata(trailing, kCachedTokens);
-    std::from_chars(cached.data(), cached.data() + cached.size(), kept);
+    const std::string_view cached_tokens_text = find_metadata(trailing, kCachedTokens);
+    std::from_chars(cached_tokens_text.data(), cached_tokens_text.data() + cached_tokens_text.size(),
+                    cached_tokens);
     Outcome outcome = Outcome::error;
-    if (status.ok() && (began_ || rpc_->may_be_empty)) {
+    if (status.ok() && (response_started_ || rpc_->may_be_empty)) {
       outcome = Outcome::ok;
-    } else if (!began_ && find_metadata(trailing, kNeverRan) == "1") {
+    } else if (!response_started_ && find_metadata(trailing, kNeverRan) == "1") {
       outcome = Outcome::full;
     } else if (!written_) {
-      outcome = Outcome::connect_failed;  // the request was never handed to a connection
-      if (owner_.settings_.keys != nullptr)
+      outcome = Outcome::connect_failed;  // the request was never written to a connection
+      if (owner_.settings_.certificate_provider != nullptr)
         log::event(log::Level::warn, "replica_unreachable", {{"why", status.error_message()}});
     } else if (status.error_code() == grpc::StatusCode::UNAVAILABLE) {
       outcome = Outcome::reset;
@@ -168,25 +173,25 @@
     if (!status.ok())
       log::event(log::Level::debug, "attempt_failed",
                  {{"status", static_cast<int>(status.error_code())},
-                  {"began", began_},
+                  {"began", response_started_},
                   {"why", status.error_message()}});
     owner_.calls_.erase(id_);
-    if (!began_ && status.error_code() == grpc::StatusCode::INVALID_ARGUMENT)
+    if (!response_started_ && status.error_code() == grpc::StatusCode::INVALID_ARGUMENT)
       return owner_.broker_.on_attempt_rejected(id_);
-    owner_.broker_.on_attempt_ended(id_, outcome, kept);
+    owner_.broker_.on_attempt_ended(id_, outcome, cached_tokens);
   }
 
   GrpcReplicaClient& owner_;
   boost::asio::io_context& io_;
   core::AttemptId id_;
   std::shared_ptr<const core::Request> rpc_;
-  boost::asio::steady_timer dial_;
+  boost::asio::steady_timer dial_timer_;
   grpc::ClientContext context_;
   std::unique_ptr<grpc::TemplatedGenericStub<grpc::ByteBuffer, grpc::ByteBuffer>> stub_;
-  grpc::ByteBuffer out_, in_;
+  grpc::ByteBuffer request_buffer_, response_buffer_;
   std::shared_ptr<Call> self_;
-  bool streams_ = false, reading_ = false, paused_ = false, written_ = false, began_ = false,
-       dropped_ = false, let_go_ = false;
+  bool is_stream_ = false, reading_ = false, paused_ = false, written_ = false, response_started_ = false,
+       cancelled_ = false, hold_released_ = false;
 };
 
 GrpcReplicaClient::GrpcReplicaClient(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock,
@@ -195,38 +200,39 @@
 GrpcReplicaClient::~GrpcReplicaClient() = default;
 
 void GrpcReplicaClient::update_endpoint(const core::Endpoint& endpoint, Micros no_new_after) {
-  Subchannel& sub = subs_[endpoint.replica.id];
-  if (!endpoint.address.empty() && sub.address != endpoint.address) {
-    sub.address = endpoint.address;
-    sub.channel.reset();
+  Subchannel& subchannel = subchannels_[endpoint.replica.id];
+  if (!endpoint.address.empty() && subchannel.address != endpoint.address) {
+    subchannel.address = endpoint.address;
+    subchannel.channel.reset();
   }
-  sub.no_new_after = no_new_after;
-  sub.ready = endpoint.replica.health == policy::Health::ready && no_new_after == core::kNever;
-  if (endpoint.replica.health == policy::Health::gone) sub.channel.reset();  // calls under way keep it
+  subchannel.no_new_after = no_new_after;
+  subchannel.ready = endpoint.replica.health == policy::Health::ready && no_new_after == core::kNever;
+  if (endpoint.replica.health == policy::Health::gone)
+    subchannel.channel.reset();  // calls in progress keep it
 }
 
-std::shared_ptr<grpc::Channel> GrpcReplicaClient::channel(Subchannel& sub) {
-  config::HostPort at;
-  if (sub.channel || !config::parse_host_port(sub.address, at)) return sub.channel;
-  if (settings_.replica_port != 0) at.port = settings_.replica_port;
-  return sub.channel = open_channel(at, settings_);
+std::shared_ptr<grpc::Channel> GrpcReplicaClient::channel(Subchannel& subchannel) {
+  config::HostPort address;
+  if (subchannel.channel || !config::parse_host_port(subchannel.address, address)) return subchannel.channel;
+  if (settings_.replica_port != 0) address.port = settings_.replica_port;
+  return subchannel.channel = open_channel(address, settings_);
 }
 
-// Lives until it is answered.
-class GrpcReplicaClient::Question final : public std::enable_shared_from_this<Question> {
+// One query, sent to the next ready replica at each try. Keeps itself alive until its handler is called.
+class GrpcReplicaClient::Query final : public std::enable_shared_from_this<Query> {
  public:
-  Question(GrpcReplicaClient& owner, std::string method, std::string question, Asked answered)
+  Query(GrpcReplicaClient& owner, std::string method, std::string question, AnswerHandler answered)
       : owner_(owner),
         method_(std::move(method)),
         question_(to_buffer(question)),
         answered_(std::move(answered)) {}
-  void ask() {
+  void send() {
     ++tries_;
-    const auto channel = owner_.next_ready();
+    const auto channel = owner_.next_ready_channel();
     if (!channel) return answered_({grpc::StatusCode::UNAVAILABLE, "no replica is ready"}, "");
     ++owner_.unfinished_;
     context_ = std::make_unique<grpc::ClientContext>();
-    context_->set_deadline(std::chrono::system_clock::now() + kAnswerTime);
+    context_->set_deadline(std::chrono::system_clock::now() + kQueryTimeout);
     stub_ = std::make_unique<grpc::TemplatedGenericStub<grpc::ByteBuffer, grpc::ByteBuffer>>(channel);
     stub_->UnaryCall(context_.get(), method_, {}, &question_, &answer_,
                      [self = shared_from_this()](const grpc::Status& status) {
@@ -237,55 +243,55 @@
  private:
   void done(const grpc::Status& status) {
     --owner_.unfinished_;
-    const bool answer = status.ok() || status.error_code() == grpc::StatusCode::NOT_FOUND;
-    if (!answer && tries_ < kQuestionTries) return ask();
+    const bool answered = status.ok() || status.error_code() == grpc::StatusCode::NOT_FOUND;
+    if (!answered && tries_ < kMaxQueryTries) return send();
     answered_(status, status.ok() ? to_string(answer_) : "");
   }
   GrpcReplicaClient& owner_;
   std::string method_;
   grpc::ByteBuffer question_, answer_;
-  Asked answered_;
+  AnswerHandler answered_;
   std::unique_ptr<grpc::ClientContext> context_;
   std::unique_ptr<grpc::TemplatedGenericStub<grpc::ByteBuffer, grpc::ByteBuffer>> stub_;
   int tries_ = 0;
 };
 
-std::shared_ptr<grpc::Channel> GrpcReplicaClient::next_ready() {
-  // The first ready one behind the last that was asked, around the ring of ids.
+std::shared_ptr<grpc::Channel> GrpcReplicaClient::next_ready_channel() {
+  // Round robin: the first ready replica after the last one queried, by id and with wraparound.
   Subchannel* next = nullptr;
-  core::ReplicaId best = 0;
-  for (auto& [id, sub] : subs_) {
-    if (!sub.ready) continue;
-    if (next == nullptr || id - last_asked_ - 1 < best - last_asked_ - 1) {
-      next = &sub;
-      best = id;
+  core::ReplicaId next_id = 0;
+  for (auto& [id, subchannel] : subchannels_) {
+    if (!subchannel.ready) continue;
+    if (next == nullptr || id - last_queried_ - 1 < next_id - last_queried_ - 1) {
+      next = &subchannel;
+      next_id = id;
     }
   }
   if (next == nullptr) return nullptr;
-  last_asked_ = best;
+  last_queried_ = next_id;
   return channel(*next);
 }
 
-void GrpcReplicaClient::ask(std::string method, std::string question, Asked answered) {
-  std::make_shared<Question>(*this, std::move(method), std::move(question), std::move(answered))->ask();
+void GrpcReplicaClient::ask(std::string method, std::string question, AnswerHandler answered) {
+  std::make_shared<Query>(*this, std::move(method), std::move(question), std::move(answered))->send();
 }
 
 void GrpcReplicaClient::renew() {
-  for (auto& [id, sub] : subs_) sub.channel.reset();
+  for (auto& [id, subchannel] : subchannels_) subchannel.channel.reset();
 }
 
 void GrpcReplicaClient::start_attempt(core::AttemptId id, core::ReplicaId replica,
-                                      std::shared_ptr<const core::Request> rpc, Micros patience) {
-  const auto it = subs_.find(replica);
+                                      std::shared_ptr<const core::Request> rpc, Micros first_event_timeout) {
+  const auto it = subchannels_.find(replica);
   const Micros now = clock_.now();
-  if (it == subs_.end() || now >= it->second.no_new_after)
+  if (it == subchannels_.end() || now >= it->second.no_new_after)
     return broker_.on_attempt_ended(id, Outcome::connect_failed);
-  Subchannel& sub = it->second;
-  const auto open = channel(sub);
+  Subchannel& subchannel = it->second;
+  const auto open = channel(subchannel);
   if (!open) return broker_.on_attempt_ended(id, Outcome::connect_failed);
-  const auto call = std::make_shared<Call>(*this, id, std::move(rpc), patience);
+  const auto call = std::make_shared<Call>(*this, id, std::move(rpc), first_event_timeout);
   calls_[id] = call;
-  call->start(open, std::min(settings_.dial_timeout, sub.no_new_after - now));
+  call->start(open, std::min(settings_.dial_timeout, subchannel.no_new_after - now));
 }
 
 void GrpcReplicaClient::cancel_attempt(core::AttemptId id) {
--- a/src/kserve/replica_client.h
+++ b/src/kserve/replica_client.h
@@ -1,5 +1,5 @@
-// The model replicas behind KServe v2 over gRPC. gRPC's threads only post to the loop; all else happens
-// there.
+// Sends attempts to model replicas by KServe v2 over gRPC. gRPC's threads only post to the event loop;
+// everything else runs on the event loop.
 #pragma once
 
 #include <grpcpp/channel.h>
@@ -19,10 +19,10 @@
 
 struct ReplicaClientSettings {
   core::Micros dial_timeout = 150 * core::kMilli;
-  std::uint16_t replica_port = 0;  // 0: replicas speak gRPC at the very endpoint that discovery gives
-  core::Micros ping = 0;           // HTTP/2 keep-alive while a call is open; 0: none
-  const tls::CertificateProvider* keys = nullptr;  // null: without encryption
-  std::string server_name;  // which certificates must have; empty: the replica's address
+  std::uint16_t replica_port = 0;  // 0: the port that discovery gives
+  core::Micros ping = 0;           // interval of HTTP/2 keepalive pings while a call is open; 0: none
+  const tls::CertificateProvider* certificate_provider = nullptr;  // null: no encryption
+  std::string server_name;  // required in the replicas' certificates; empty: the replica's address
 };
 
 class GrpcReplicaClient final : public core::ReplicaClient {
@@ -33,39 +33,41 @@
 
   void update_endpoint(const core::Endpoint& endpoint, core::Micros no_new_after) override;
   void start_attempt(core::AttemptId id, core::ReplicaId replica, std::shared_ptr<const core::Request> rpc,
-                     core::Micros patience) override;
+                     core::Micros first_event_timeout) override;
   void cancel_attempt(core::AttemptId id) override;
   void pause_attempt(core::AttemptId id, bool paused) override;
   void reload(core::Micros dial_timeout) { settings_.dial_timeout = dial_timeout; }
-  // One small question to a ready replica, and to another if it does not answer in time; each takes its turn.
-  // Always answered, on the loop; UNAVAILABLE where there is no ready replica.
-  using Asked = std::function<void(const grpc::Status& status, std::string answer)>;
-  void ask(std::string method, std::string question, Asked answered);
-  // Calls from now on go over new connections, by the keys in force; those under way keep theirs.
+  // Sends a small unary query to a ready replica, and to another one if it fails or does not answer in time.
+  // The ready replicas are queried in rotation. The handler is always called, on the event loop; with
+  // UNAVAILABLE if no replica is ready.
+  using AnswerHandler = std::function<void(const grpc::Status& status, std::string answer)>;
+  void ask(std::string method, std::string question, AnswerHandler answered);
+  // New calls use new connections with the current certificate and key; calls in progress keep their
+  // connection.
   void renew();
-  std::size_t unfinished() const { return unfinished_; }  // calls that gRPC has not let go of yet
+  std::size_t unfinished() const { return unfinished_; }  // calls that gRPC still holds
 
  private:
   class Call;
-  class Question;
+  class Query;
   struct Subchannel {
     std::string address;
     core::Micros no_new_after = core::kNever;
     bool ready = false;
     std::shared_ptr<grpc::Channel> channel;
   };
-  // The subchannel's own, opened if need be; null: its address cannot be used.
-  std::shared_ptr<grpc::Channel> channel(Subchannel& sub);
-  std::shared_ptr<grpc::Channel> next_ready();  // null: none is
+  // The channel of this subchannel, opened if necessary; null if its address is invalid.
+  std::shared_ptr<grpc::Channel> channel(Subchannel& subchannel);
+  std::shared_ptr<grpc::Channel> next_ready_channel();  // null if no replica is ready
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
   core::Clock& clock_;
   ReplicaClientSettings settings_;
-  std::unordered_map<core::ReplicaId, Subchannel> subs_;
+  std::unordered_map<core::ReplicaId, Subchannel> subchannels_;
   std::map<core::AttemptId, std::shared_ptr<Call>> calls_;
   std::size_t unfinished_ = 0;
-  core::ReplicaId last_asked_ = 0;
+  core::ReplicaId last_queried_ = 0;
 };
 
 }  // namespace flintglade::kserve
--- a/src/log/collapse.h
+++ b/src/log/collapse.h
@@ -1,4 +1,5 @@
-// Which of many like events are written. No I/O; time is handed in.
+// Limits how many events of one name are written per time window and counts the rest. No I/O; the caller
+// passes the time.
 #pragma once
 
 #include <cstdint>
@@ -15,38 +16,40 @@
     std::string name;
     std::uint64_t left_out;
   };
-  Collapse(unsigned most, std::int64_t window_us) : most_(most), window_us_(window_us) {}
+  Collapse(unsigned max_per_window, std::int64_t window_us)
+      : max_per_window_(max_per_window), window_us_(window_us) {}
 
-  // True: write it. Names are few: they are in the program's text, never in what a client sends.
+  // Whether to write an event of this name. The number of names is bounded: they are constants of the program
+  // and never come from clients.
   bool take(std::string_view name, std::int64_t now_us) {
-    Window& w = windows_.try_emplace(std::string(name)).first->second;
-    if (now_us - w.from >= window_us_) {
-      // What the last window left out is told by due(), which the caller asks first.
-      w.from = now_us;
-      w.seen = 0;
+    Window& window = windows_.try_emplace(std::string(name)).first->second;
+    if (now_us - window.started_us >= window_us_) {
+      // The caller has called due() before, which returned the count of the last window.
+      window.started_us = now_us;
+      window.event_count = 0;
     }
-    if (++w.seen <= most_) return true;
-    ++w.left_out;
+    if (++window.event_count <= max_per_window_) return true;
+    ++window.left_out;
     return false;
   }
-  // The counts of windows that have ended by now; all that there are, if now is the end of time.
+  // Returns and resets the counts of windows that have ended by now; with the maximum time, all counts.
   std::vector<Count> due(std::int64_t now_us) {
     std::vector<Count> out;
-    for (auto& [name, w] : windows_) {
-      if (w.left_out == 0 || now_us - w.from < window_us_) continue;
-      out.push_back({name, w.left_out});
-      w.left_out = 0;
+    for (auto& [name, window] : windows_) {
+      if (window.left_out == 0 || now_us - window.started_us < window_us_) continue;
+      out.push_back({name, window.left_out});
+      window.left_out = 0;
     }
     return out;
   }
 
  private:
   struct Window {
-    std::int64_t from = INT64_MIN / 2;
-    unsigned seen = 0;
+    std::int64_t started_us = INT64_MIN / 2;
+    unsigned event_count = 0;
     std::uint64_t left_out = 0;
   };
-  unsigned most_;
+  unsigned max_per_window_;
   std::int64_t window_us_;
   std::map<std::string, Window> windows_;
 };
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -17,13 +17,15 @@
 namespace flintglade::log {
 namespace {
 
-constexpr unsigned kMostLike = 20;  // of one name in a window
+// At most kMaxPerWindow events of one name are written per window.
+constexpr unsigned kMaxPerWindow = 20;
 constexpr std::int64_t kWindowUs = 1'000'000;
 
-// Writes a line where that can't wait, and drops it where it could: a pipe that is said to be writable takes
-// PIPE_BUF bytes at once. No queue and no thread of its own. Seen with one: it woke an idle router every 10
-// s, and the end of a process that waited for it took up to 20 s where threads run one at a time.
-class NoWait final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+// Writes a line only if that cannot block, and drops it otherwise: a pipe that poll() reports as writable
+// accepts PIPE_BUF bytes at once. Deliberately without a queue and a logging thread: a thread woke an idle
+// router every 10 s, and where threads run one at a time, waiting for it at the end of the process took up to
+// 20 s.
+class NonBlockingSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   std::uint64_t dropped = 0;
 
@@ -31,38 +33,38 @@
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    if (line.size() > kLongest) {
-      line.resize(kLongest);
-      line[kLongest - 1] = '\n';
+    if (line.size() > kMaxLineBytes) {
+      line.resize(kMaxLineBytes);
+      line[kMaxLineBytes - 1] = '\n';
     }
     pollfd ready{STDERR_FILENO, POLLOUT, 0};
-    const bool can = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
-    if (!can || ::write(STDERR_FILENO, line.data(), line.size()) < 0) ++dropped;
+    const bool writable = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
+    if (!writable || ::write(STDERR_FILENO, line.data(), line.size()) < 0) ++dropped;
   }
   void flush_() override {}
-  static constexpr std::size_t kLongest = 4096;  // PIPE_BUF
+  static constexpr std::size_t kMaxLineBytes = 4096;  // PIPE_BUF
 };
 
 struct State {
   std::mutex mutex;
   Format format = Format::text;
-  Collapse collapse{kMostLike, kWindowUs};
-  std::shared_ptr<NoWait> sink = std::make_shared<NoWait>();
+  Collapse collapse{kMaxPerWindow, kWindowUs};
+  std::shared_ptr<NonBlockingSink> sink = std::make_shared<NonBlockingSink>();
   spdlog::logger logger{"flintglade", sink};
 
   State() {
     logger.set_level(spdlog::level::info);
-    pattern();
+    apply_pattern();
   }
-  void pattern() {
+  void apply_pattern() {
     logger.set_pattern(format == Format::json ? R"({"ts":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})"
                                               : "ts=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v",
                        spdlog::pattern_time_type::utc);
   }
 };
 State& state() {
-  static State s;
-  return s;
+  static State instance;
+  return instance;
 }
 
 std::int64_t now_us() {
@@ -70,24 +72,25 @@
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
-spdlog::level::level_enum to_spd(Level level) {
+spdlog::level::level_enum to_spdlog(Level level) {
   static constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
                                                           spdlog::level::warn, spdlog::level::err};
   return kLevels[static_cast<std::size_t>(level)];
 }
-// What a client sent may stand in a value: JSON's own escapes keep a line one line.
+// Values may contain text from clients: JSON escapes keep each event on one line.
 std::string quote(std::string_view text) {
   return nlohmann::json(std::string(text)).dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
 }
-bool plain(std::string_view text) {
+bool needs_no_quotes(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
     return c > ' ' && c < 127 && c != '"' && c != '=' && c != '\\';
   });
 }
-void tell_counts(State& s, std::int64_t now) {
-  for (const auto& count : s.collapse.due(now)) {
+void write_collapsed_counts(State& log_state, std::int64_t now) {
+  for (const auto& count : log_state.collapse.due(now)) {
     const Field fields[] = {{"of", count.name}, {"left_out", count.left_out}};
-    s.logger.log(spdlog::level::warn, "{}", render(s.format, "repeated", fields, std::size(fields)));
+    log_state.logger.log(spdlog::level::warn, "{}",
+                         render(log_state.format, "repeated", fields, std::size(fields)));
   }
 }
 
@@ -98,13 +101,13 @@
 bool configure(std::string_view format, std::string_view level) {
   if (format != "text" && format != "json") return false;
   static constexpr std::string_view kNames[] = {"debug", "info", "warn", "error"};
-  const auto at = std::find(std::begin(kNames), std::end(kNames), level);
-  if (at == std::end(kNames)) return false;
-  State& s = state();
-  const std::lock_guard lock(s.mutex);
-  s.format = format == "json" ? Format::json : Format::text;
-  s.logger.set_level(to_spd(static_cast<Level>(at - std::begin(kNames))));
-  s.pattern();
+  const auto found = std::find(std::begin(kNames), std::end(kNames), level);
+  if (found == std::end(kNames)) return false;
+  State& log_state = state();
+  const std::lock_guard lock(log_state.mutex);
+  log_state.format = format == "json" ? Format::json : Format::text;
+  log_state.logger.set_level(to_spdlog(static_cast<Level>(found - std::begin(kNames))));
+  log_state.apply_pattern();
   return true;
 }
 
@@ -112,30 +115,30 @@
   const bool json = format == Format::json;
   std::string out = json ? "\"event\":" : "event=";
   out += json ? quote(name) : std::string(name);
-  for (const Field* f = fields; f != fields + count; ++f) {
+  for (const Field* field = fields; field != fields + count; ++field) {
     out += json ? ',' : ' ';
-    out += json ? quote(f->key) : std::string(f->key);
+    out += json ? quote(field->key) : std::string(field->key);
     out += json ? ':' : '=';
-    out += f->bare || (!json && plain(f->value)) ? f->value : quote(f->value);
+    out += field->bare || (!json && needs_no_quotes(field->value)) ? field->value : quote(field->value);
   }
   return out;
 }
 
 bool enabled(Level level) {
-  State& s = state();
-  const std::lock_guard lock(s.mutex);
-  return s.logger.should_log(to_spd(level));
+  State& log_state = state();
+  const std::lock_guard lock(log_state.mutex);
+  return log_state.logger.should_log(to_spdlog(level));
 }
 
 namespace {
 void write_event(Level level, std::string_view name, const Field* fields, std::size_t count) {
-  State& s = state();
-  const std::lock_guard lock(s.mutex);
+  State& log_state = state();
+  const std::lock_guard lock(log_state.mutex);
   const std::int64_t now = now_us();
-  tell_counts(s, now);
-  if (!s.logger.should_log(to_spd(level))) return;
-  if (level != Level::debug && !s.collapse.take(name, now)) return;
-  s.logger.log(to_spd(level), "{}", render(s.format, name, fields, count));
+  write_collapsed_counts(log_state, now);
+  if (!log_state.logger.should_log(to_spdlog(level))) return;
+  if (level != Level::debug && !log_state.collapse.take(name, now)) return;
+  log_state.logger.log(to_spdlog(level), "{}", render(log_state.format, name, fields, count));
 }
 }  // namespace
 
@@ -147,21 +150,22 @@
 }
 
 void reply(std::string_view name, const std::vector<Field>& fields) {
-  State& s = state();
-  const std::lock_guard lock(s.mutex);
-  s.logger.log(spdlog::level::info, "{}", render(s.format, name, fields.data(), fields.size()));
+  State& log_state = state();
+  const std::lock_guard lock(log_state.mutex);
+  log_state.logger.log(spdlog::level::info, "{}",
+                       render(log_state.format, name, fields.data(), fields.size()));
 }
 
 void flush() {
-  State& s = state();
-  const std::lock_guard lock(s.mutex);
-  tell_counts(s, INT64_MAX / 2);
+  State& log_state = state();
+  const std::lock_guard lock(log_state.mutex);
+  write_collapsed_counts(log_state, INT64_MAX / 2);
 }
 
 std::uint64_t dropped() {
-  State& s = state();
-  const std::lock_guard lock(s.mutex);
-  return s.sink->dropped;
+  State& log_state = state();
+  const std::lock_guard lock(log_state.mutex);
+  return log_state.sink->dropped;
 }
 
 }  // namespace flintglade::log
--- a/src/tls/certificate_provider.cpp
+++ b/src/tls/certificate_provider.cpp
@@ -9,7 +9,8 @@
 namespace flintglade::tls {
 namespace {
 
-constexpr std::int64_t kDay = 86400, kSoon = 14 * kDay;  // when an expiry is worth a word
+constexpr std::int64_t kDay = 86400;
+constexpr std::int64_t kExpiryWarning = 14 * kDay;  // remaining validity below which loading logs a warning
 
 std::int64_t unix_now() {
   return std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch())
@@ -23,20 +24,20 @@
 
 CertificateProvider::~CertificateProvider() {
   *alive_ = false;
-  disk_.join();
+  disk_thread_.join();
 }
 
 std::string CertificateProvider::read(const Files& files, Material& out) {
   return tls::load(files, unix_now(), out);
 }
 
-void CertificateProvider::use(const Files& files, double look_every_s, Material material) {
+void CertificateProvider::use(const Files& files, double check_interval_s, Material material) {
   files_ = files;
-  every_s_ = look_every_s;
-  wrong_.clear();
-  told_wrong_ = false;
-  take(std::move(material));
-  plan();
+  check_interval_s_ = check_interval_s;
+  last_error_.clear();
+  error_reported_ = false;
+  set_current(std::move(material));
+  schedule_check();
 }
 
 Material CertificateProvider::current() const {
@@ -48,43 +49,44 @@
   return std::max<std::int64_t>(0, current().not_after - unix_now());
 }
 
-void CertificateProvider::plan() {
-  if (every_s_ <= 0.0) return;
-  timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(every_s_ * 1e6)));
+void CertificateProvider::schedule_check() {
+  if (check_interval_s_ <= 0.0) return;
+  timer_.expires_after(std::chrono::microseconds(static_cast<std::int64_t>(check_interval_s_ * 1e6)));
   timer_.async_wait([this](boost::system::error_code ec) {
     if (ec) return;
-    boost::asio::post(disk_, [this, alive = alive_, files = files_] {
+    boost::asio::post(disk_thread_, [this, alive = alive_, files = files_] {
       Material fresh;
       std::string error = read(files, fresh);
       boost::asio::post(io_, [this, alive, files, error = std::move(error), fresh = std::move(fresh)] {
-        if (*alive) looked(files, error, fresh);
+        if (*alive) on_files_read(files, error, fresh);
       });
     });
   });
 }
 
-void CertificateProvider::looked(const Files& files, const std::string& error, Material fresh) {
-  if (files == files_) {  // else a reload has named others meanwhile
+void CertificateProvider::on_files_read(const Files& files, const std::string& error, Material fresh) {
+  if (files == files_) {  // else a reload has changed the paths meanwhile
     if (error.empty()) {
-      wrong_.clear();
-      told_wrong_ = false;
-      take(std::move(fresh));
-    } else if (error != wrong_) {
-      // Certificate and key are two files, and are changed one after the other: seen once is not yet wrong.
-      wrong_ = error;
-      told_wrong_ = false;
-    } else if (!std::exchange(told_wrong_, true)) {
+      last_error_.clear();
+      error_reported_ = false;
+      set_current(std::move(fresh));
+    } else if (error != last_error_) {
+      // Certificate and key are two files that are replaced one after the other, so a mismatch may be
+      // temporary: an error is reported only when the next check finds it again.
+      last_error_ = error;
+      error_reported_ = false;
+    } else if (!std::exchange(error_reported_, true)) {
       ++counters_.refused;
       log::event(log::Level::warn, "certificate_rejected",
-                 {{"of", name_}, {"why", error}, {"in_force", "what was read before"}});
+                 {{"of", name_}, {"why", error}, {"in_force", "the previously loaded material"}});
     }
   }
-  plan();
+  schedule_check();
 }
 
-void CertificateProvider::take(Material fresh) {
-  const bool has = fresh.not_after != 0;
-  const std::int64_t left = fresh.not_after - unix_now();
+void CertificateProvider::set_current(Material fresh) {
+  const bool has_certificate = fresh.not_after != 0;
+  const std::int64_t remaining_s = fresh.not_after - unix_now();
   {
     const std::lock_guard lock(mutex_);
     if (generation_ > 0 && fresh.same(current_)) return;
@@ -92,9 +94,12 @@
   }
   ++generation_;
   ++counters_.taken;
-  log::event(has && left < kSoon ? log::Level::warn : log::Level::info, "certificate_loaded",
-             {{"of", name_}, {"generation", generation_.load()}, {"days_left", has ? left / kDay : -1}});
-  if (told_) told_();
+  log::event(has_certificate && remaining_s < kExpiryWarning ? log::Level::warn : log::Level::info,
+             "certificate_loaded",
+             {{"of", name_},
+              {"generation", generation_.load()},
+              {"days_left", has_certificate ? remaining_s / kDay : -1}});
+  if (on_change_) on_change_();
 }
 
 }  // namespace flintglade::tls
--- a/src/tls/certificate_provider.h
+++ b/src/tls/certificate_provider.h
@@ -1,5 +1,5 @@
-// Holds the material in force, for whoever does the handshakes, and looks at the files now and then. Files
-// are read on a thread of its own: a slow disk does not hold up the loop.
+// Holds the current certificate material for handshakes and periodically checks its files for changes. The
+// files are read on a separate thread, so that a slow disk does not block the event loop.
 #pragma once
 
 #include <atomic>
@@ -15,41 +15,44 @@
 
 class CertificateProvider {
  public:
-  CertificateProvider(boost::asio::io_context& io, std::string name);  // the name is for the log
+  CertificateProvider(boost::asio::io_context& io, std::string name);  // the name is used in the log
   ~CertificateProvider();
-  // Waits for the disk: for the start and for SIGHUP. Empty, or what is wrong.
+  // Blocks on the disk: for the start and for SIGHUP. Returns an empty string or the error.
   static std::string read(const Files& files, Material& out);
-  // From now on in force, with the files that it was read from and the time between looks at them.
-  void use(const Files& files, double look_every_s, Material material);
-  void on_change(std::function<void()> told) { told_ = std::move(told); }  // on the loop
+  // Makes the material current. The files that it was read from are checked every check_interval_s seconds
+  // from now on; 0: never.
+  void use(const Files& files, double check_interval_s, Material material);
+  // The callback runs on the event loop.
+  void on_change(std::function<void()> callback) { on_change_ = std::move(callback); }
 
-  // Any thread. The generation changes with the material.
+  // These two may be called on any thread. The generation changes with the material.
   Material current() const;
   std::uint64_t generation() const { return generation_; }
   struct Counters {
     std::uint64_t taken = 0, refused = 0;
   };
   const Counters& counters() const { return counters_; }
-  std::int64_t expires_in_s() const;  // of the certificate; 0: there is none, or it has expired
+  std::int64_t expires_in_s() const;  // of the certificate; 0 if there is none or it has expired
 
  private:
-  void plan();
-  void looked(const Files& files, const std::string& error, Material fresh);
-  void take(Material fresh);
+  void schedule_check();
+  void on_files_read(const Files& files, const std::string& error, Material fresh);
+  void set_current(Material fresh);
 
   boost::asio::io_context& io_;
   std::string name_;
   boost::asio::steady_timer timer_;
-  boost::asio::thread_pool disk_{1};
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what is posted and finds it gone
+  boost::asio::thread_pool disk_thread_{1};
+  // False once this object is destroyed; checked by posted handlers.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Files files_;
-  double every_s_ = 0.0;
-  std::string wrong_;  // at the last look, so that it is told once, and not for a pair half written
-  bool told_wrong_ = false;
-  std::function<void()> told_;
+  double check_interval_s_ = 0.0;
+  std::string last_error_;  // of the last check: an error is reported once, when two checks in a row had it
+  bool error_reported_ = false;
+  std::function<void()> on_change_;
   Counters counters_;
   mutable std::mutex mutex_;
-  Material current_;  // under mutex_
+  Material current_;  // guarded by mutex_
   std::atomic<std::uint64_t> generation_ = 0;
 };
 
--- a/src/tls/material.cpp
+++ b/src/tls/material.cpp
@@ -17,94 +17,96 @@
 namespace flintglade::tls {
 namespace {
 
-constexpr std::size_t kLargest = 1u << 20;
+constexpr std::size_t kMaxFileSize = 1u << 20;  // bytes
 
 template <auto free>
-struct With {
+struct Deleter {
   template <typename T>
-  void operator()(T* p) const {
-    free(p);
+  void operator()(T* pointer) const {
+    free(pointer);
   }
 };
-using Bio = std::unique_ptr<BIO, With<BIO_free>>;
-using Cert = std::unique_ptr<X509, With<X509_free>>;
-using Key = std::unique_ptr<EVP_PKEY, With<EVP_PKEY_free>>;
+using Bio = std::unique_ptr<BIO, Deleter<BIO_free>>;
+using Certificate = std::unique_ptr<X509, Deleter<X509_free>>;
+using Key = std::unique_ptr<EVP_PKEY, Deleter<EVP_PKEY_free>>;
 
-// The mode is that of the very file that is read, whatever its name points at a moment later.
+// Checks the mode of the opened descriptor, not of the path, which may refer to another file by then.
 std::string read(const std::string& path, bool secret, std::string& out) {
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (fd < 0) return path + ": " + std::strerror(errno);
   std::string error;
-  struct stat about {};
-  if (::fstat(fd, &about) != 0 || !S_ISREG(about.st_mode)) {
-    error = path + ": not a file";
-  } else if (secret && (about.st_mode & (S_IRWXO | S_IWGRP)) != 0) {
-    error = path + ": others may read or change this private key: take their rights away";
-  } else if (static_cast<std::size_t>(about.st_size) > kLargest) {
+  struct stat file_status {};
+  if (::fstat(fd, &file_status) != 0 || !S_ISREG(file_status.st_mode)) {
+    error = path + ": not a regular file";
+  } else if (secret && (file_status.st_mode & (S_IRWXO | S_IWGRP)) != 0) {
+    error = path + ": others may read or change this private key; restrict its mode, for example to 0640";
+  } else if (static_cast<std::size_t>(file_status.st_size) > kMaxFileSize) {
     error = path + ": larger than 1 MiB";
   }
   out.clear();
   char bytes[16384];
-  for (ssize_t n = 1; error.empty() && n > 0;) {
-    n = ::read(fd, bytes, sizeof bytes);
-    if (n < 0) error = path + ": " + std::strerror(errno);
-    if (n > 0) out.append(bytes, static_cast<std::size_t>(n));
-    if (out.size() > kLargest) error = path + ": larger than 1 MiB";
+  for (ssize_t count = 1; error.empty() && count > 0;) {
+    count = ::read(fd, bytes, sizeof bytes);
+    if (count < 0) error = path + ": " + std::strerror(errno);
+    if (count > 0) out.append(bytes, static_cast<std::size_t>(count));
+    if (out.size() > kMaxFileSize) error = path + ": larger than 1 MiB";
   }
   ::close(fd);
   return error;
 }
 
-Bio of(const std::string& text) { return Bio(BIO_new_mem_buf(text.data(), static_cast<int>(text.size()))); }
+Bio memory_bio(const std::string& text) {
+  return Bio(BIO_new_mem_buf(text.data(), static_cast<int>(text.size())));
+}
 
-int no_passphrase(char*, int, int, void*) { return -1; }  // never asks at a terminal
+int no_passphrase(char*, int, int, void*) { return -1; }  // never prompts on a terminal
 
 std::int64_t unix_time(const ASN1_TIME* time) {
   std::tm parts{};
   return ASN1_TIME_to_tm(time, &parts) == 1 ? static_cast<std::int64_t>(::timegm(&parts)) : 0;
 }
 
-std::string day(std::int64_t at) {
-  const auto t = static_cast<std::time_t>(at);
+std::string utc_text(std::int64_t unix_seconds) {
+  const auto time = static_cast<std::time_t>(unix_seconds);
   std::tm parts{};
   char text[32];
-  ::gmtime_r(&t, &parts);
+  ::gmtime_r(&time, &parts);
   std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &parts);
   return text;
 }
 
-std::string check_all(Material& m, const Files& names, std::int64_t now) {
-  if (!m.roots.empty()) {
-    const Bio bio = of(m.roots);
-    if (!Cert(PEM_read_bio_X509(bio.get(), nullptr, no_passphrase, nullptr)))
-      return names.roots + ": holds no certificate";
+std::string check_all(Material& material, const Files& files, std::int64_t now) {
+  if (!material.roots.empty()) {
+    const Bio bio = memory_bio(material.roots);
+    if (!Certificate(PEM_read_bio_X509(bio.get(), nullptr, no_passphrase, nullptr)))
+      return files.roots + ": holds no certificate";
   }
-  if (m.certificate.empty() && m.key.empty()) return "";
-  const Bio chain = of(m.certificate), secret = of(m.key);
-  const Cert leaf(PEM_read_bio_X509(chain.get(), nullptr, no_passphrase, nullptr));
-  if (!leaf) return names.certificate + ": holds no certificate";
-  // What stands behind the leaf has to be whole too: a chain cut short fails only at the client.
-  while (const Cert next{PEM_read_bio_X509(chain.get(), nullptr, no_passphrase, nullptr)}) {
+  if (material.certificate.empty() && material.key.empty()) return "";
+  const Bio chain = memory_bio(material.certificate), secret = memory_bio(material.key);
+  const Certificate leaf(PEM_read_bio_X509(chain.get(), nullptr, no_passphrase, nullptr));
+  if (!leaf) return files.certificate + ": holds no certificate";
+  // Parses the rest of the chain too: a truncated chain would otherwise be noticed only by the clients.
+  while (const Certificate next{PEM_read_bio_X509(chain.get(), nullptr, no_passphrase, nullptr)}) {
   }
   if (ERR_GET_REASON(ERR_peek_last_error()) != PEM_R_NO_START_LINE)
-    return names.certificate + ": a certificate of the chain cannot be read";
-  const std::int64_t from = unix_time(X509_get0_notBefore(leaf.get()));
-  const std::int64_t to = unix_time(X509_get0_notAfter(leaf.get()));
-  if (now < from) return names.certificate + ": not valid before " + day(from);
-  if (now > to) return names.certificate + ": expired at " + day(to);
+    return files.certificate + ": a certificate of the chain cannot be parsed";
+  const std::int64_t not_before = unix_time(X509_get0_notBefore(leaf.get()));
+  const std::int64_t not_after = unix_time(X509_get0_notAfter(leaf.get()));
+  if (now < not_before) return files.certificate + ": not valid before " + utc_text(not_before);
+  if (now > not_after) return files.certificate + ": expired at " + utc_text(not_after);
   const Key key(PEM_read_bio_PrivateKey(secret.get(), nullptr, no_passphrase, nullptr));
-  if (!key) return names.key + ": holds no private key that can be read without a passphrase";
+  if (!key) return files.key + ": holds no private key that can be read without a passphrase";
   if (X509_check_private_key(leaf.get(), key.get()) != 1)
-    return names.key + ": is not the key of " + names.certificate;
-  m.not_after = to;
+    return files.key + ": is not the key of " + files.certificate;
+  material.not_after = not_after;
   return "";
 }
 
 }  // namespace
 
-std::string check(Material& material, const Files& names, std::int64_t unix_now) {
+std::string check(Material& material, const Files& files, std::int64_t unix_now) {
   ERR_clear_error();
-  std::string error = check_all(material, names, unix_now);
+  std::string error = check_all(material, files, unix_now);
   ERR_clear_error();
   return error;
 }
