--- a/src/kserve/descriptions.cpp
+++ b/src/kserve/descriptions.cpp
@@ -38,7 +38,7 @@
   return it != entries_.end() && it->second.asking;
 }
 
-void Descriptions::told(const Key& key, inference::ModelMetadataResponse said, Micros now) {
+void Descriptions::set_known(const Key& key, inference::ModelMetadataResponse said, Micros now) {
   Entry& entry = entries_[key];
   entry.state = State::known;
   entry.asking = false;
--- a/src/kserve/descriptions.h
+++ b/src/kserve/descriptions.h
@@ -38,7 +38,7 @@
   bool ask(const Key& key, core::Micros now);
   // Whether a query is in progress, so that an absent description may arrive soon.
   bool asking(const Key& key) const;
-  void told(const Key& key, inference::ModelMetadataResponse said, core::Micros now);
+  void set_known(const Key& key, inference::ModelMetadataResponse said, core::Micros now);
   void told_unknown(const Key& key, core::Micros now);
   void failed(const Key& key, core::Micros now);
   std::size_t size() const { return entries_.size(); }
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -560,7 +560,7 @@
                  [this, key, fail](const Status& status, const std::string& bytes) {
                    inference::ModelMetadataResponse description;
                    if (status.ok() && description.ParseFromString(bytes)) {
-                     descriptions_.told(key, std::move(description), clock_->now());
+                     descriptions_.set_known(key, std::move(description), clock_->now());
                    } else if (status.error_code() == StatusCode::NOT_FOUND) {
                      descriptions_.told_unknown(key, clock_->now());
                    } else {
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -429,7 +429,7 @@
   CHECK(d.find(a, now).state == State::absent && d.ask(a, now) && !d.ask(a, now) && d.asking(a));
   inference::ModelMetadataResponse said;
   said.set_name("a");
-  d.told(a, said, now);
+  d.set_known(a, said, now);
   CHECK(d.find(a, now).state == State::known && d.find(a, now).said->name() == "a" && !d.ask(a, now));
   now = 60 * core::kSecond;  // its time has come: asked anew, and the old word serves
   CHECK(d.find(a, now).state == State::known && d.ask(a, now));
