--- a/src/kserve/descriptions.cpp
+++ b/src/kserve/descriptions.cpp
@@ -47,7 +47,7 @@
   entry.said = std::move(said);
 }
 
-void Descriptions::told_unknown(const Key& key, Micros now) {
+void Descriptions::set_unknown(const Key& key, Micros now) {
   Entry& entry = entries_[key];
   entry.state = State::unknown;
   entry.asking = false;
--- a/src/kserve/descriptions.h
+++ b/src/kserve/descriptions.h
@@ -39,7 +39,7 @@
   // Whether a query is in progress, so that an absent description may arrive soon.
   bool asking(const Key& key) const;
   void set_known(const Key& key, inference::ModelMetadataResponse said, core::Micros now);
-  void told_unknown(const Key& key, core::Micros now);
+  void set_unknown(const Key& key, core::Micros now);
   void failed(const Key& key, core::Micros now);
   std::size_t size() const { return entries_.size(); }
 
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -562,7 +562,7 @@
                    if (status.ok() && description.ParseFromString(bytes)) {
                      descriptions_.set_known(key, std::move(description), clock_->now());
                    } else if (status.error_code() == StatusCode::NOT_FOUND) {
-                     descriptions_.told_unknown(key, clock_->now());
+                     descriptions_.set_unknown(key, clock_->now());
                    } else {
                      ++counters_.descriptions_failed;
                      descriptions_.failed(key, clock_->now());
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -440,7 +440,7 @@
   CHECK(d.find(a, now).state == State::absent);
   CHECK(d.ask(b, now) && d.ask(a, now + core::kSecond));
   CHECK(!d.ask(c, now) && d.size() == 2);  // both have somebody waiting: neither is let go
-  d.told_unknown(b, now);
+  d.set_unknown(b, now);
   CHECK(d.find(b, now).state == State::unknown && d.find(b, now + core::kSecond).state == State::absent);
   CHECK(d.ask(c, now + core::kSecond) && d.size() == 2 && d.asking(a) && !d.asking(b));
 }
