--- a/src/kserve/descriptions.cpp
+++ b/src/kserve/descriptions.cpp
@@ -15,7 +15,7 @@
     return {now - entry.learned_at < settings_.retry_delay ? State::unknown : State::absent, nullptr};
   if (entry.state == State::absent || now - entry.learned_at >= settings_.ttl + settings_.max_stale)
     return {};
-  return {State::known, &entry.said};
+  return {State::known, &entry.description};
 }
 
 bool Descriptions::ask(const Key& key, Micros now) {
@@ -38,13 +38,13 @@
   return it != entries_.end() && it->second.asking;
 }
 
-void Descriptions::set_known(const Key& key, inference::ModelMetadataResponse said, Micros now) {
+void Descriptions::set_known(const Key& key, inference::ModelMetadataResponse description, Micros now) {
   Entry& entry = entries_[key];
   entry.state = State::known;
   entry.asking = false;
   entry.learned_at = now;
   entry.failed_at = -1;
-  entry.said = std::move(said);
+  entry.description = std::move(description);
 }
 
 void Descriptions::set_unknown(const Key& key, Micros now) {
@@ -53,7 +53,7 @@
   entry.asking = false;
   entry.learned_at = now;
   entry.failed_at = -1;
-  entry.said.Clear();
+  entry.description.Clear();
 }
 
 // Keeps a known description: replicas that do not answer have not changed their models.
--- a/src/kserve/descriptions.h
+++ b/src/kserve/descriptions.h
@@ -30,7 +30,7 @@
   enum class State { absent, known, unknown };  // unknown: the replicas have no such model
   struct Found {
     State state = State::absent;
-    const inference::ModelMetadataResponse* said = nullptr;  // valid until the next non-const call
+    const inference::ModelMetadataResponse* description = nullptr;  // valid until the next non-const call
   };
   Found find(const Key& key, core::Micros now);
   // Whether to ask a replica now. If true, the query counts as started: the caller must report its result
@@ -38,7 +38,7 @@
   bool ask(const Key& key, core::Micros now);
   // Whether a query is in progress, so that an absent description may arrive soon.
   bool asking(const Key& key) const;
-  void set_known(const Key& key, inference::ModelMetadataResponse said, core::Micros now);
+  void set_known(const Key& key, inference::ModelMetadataResponse description, core::Micros now);
   void set_unknown(const Key& key, core::Micros now);
   void failed(const Key& key, core::Micros now);
   std::size_t size() const { return entries_.size(); }
@@ -48,7 +48,7 @@
     State state = State::absent;
     bool asking = false;
     core::Micros learned_at = 0, failed_at = -1, used_at = 0;  // failed_at: -1 if the last query was answered
-    inference::ModelMetadataResponse said;
+    inference::ModelMetadataResponse description;
   };
   bool evict_one();
   DescriptionSettings settings_;
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -529,10 +529,10 @@
     return true;
   }
   auto& out = *call.response;
-  *out.mutable_inputs() = found.said->inputs();
-  *out.mutable_outputs() = found.said->outputs();
-  if (call.model.versions.empty()) *out.mutable_versions() = found.said->versions();
-  if (call.model.platform.empty()) out.set_platform(found.said->platform());
+  *out.mutable_inputs() = found.description->inputs();
+  *out.mutable_outputs() = found.description->outputs();
+  if (call.model.versions.empty()) *out.mutable_versions() = found.description->versions();
+  if (call.model.platform.empty()) out.set_platform(found.description->platform());
   call.reactor->Finish(Status::OK);
   return true;
 }
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -430,7 +430,7 @@
   inference::ModelMetadataResponse said;
   said.set_name("a");
   d.set_known(a, said, now);
-  CHECK(d.find(a, now).state == State::known && d.find(a, now).said->name() == "a" && !d.ask(a, now));
+  CHECK(d.find(a, now).state == State::known && d.find(a, now).description->name() == "a" && !d.ask(a, now));
   now = 60 * core::kSecond;  // its time has come: asked anew, and the old word serves
   CHECK(d.find(a, now).state == State::known && d.ask(a, now));
   d.failed(a, now);
