--- a/src/commands/conformance.cpp
+++ b/src/commands/conformance.cpp
@@ -15,7 +15,7 @@
   config::HostPort at;
   if (!config::parse_host_port(options.target, at))
     return diagnose(options.target + ": not of the form ADDRESS:PORT");
-  kserve::log_through_ours();
+  kserve::redirect_grpc_log();
   conformance::Target target;
   target.model = options.model;
   target.timeout_s = options.timeout_s;
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -287,7 +287,7 @@
       replica_keys->use(kserve::replica_files(from), look_every(from.replica_tls()), std::move(keys.replica));
   };
   if (file.has_kserve()) {
-    kserve::log_through_ours();
+    kserve::redirect_grpc_log();
     Keys keys;
     error = read_keys(file.kserve(), file.kserve().has_tls(), file.kserve().has_replica_tls(), keys);
     if (!error.empty()) return diagnose(error);
--- a/src/kserve/credentials.cpp
+++ b/src/kserve/credentials.cpp
@@ -79,6 +79,6 @@
          config::host_port(address.host, address.port);
 }
 
-void log_through_ours() { gpr_set_log_function(&log_grpc_error); }
+void redirect_grpc_log() { gpr_set_log_function(&log_grpc_error); }
 
 }  // namespace flintglade::kserve
--- a/src/kserve/credentials.h
+++ b/src/kserve/credentials.h
@@ -26,6 +26,6 @@
 
 // Writes gRPC's error messages as events to this project's log: gRPC reports failed handshakes only in its
 // own log. Applies to the whole process.
-void log_through_ours();
+void redirect_grpc_log();
 
 }  // namespace flintglade::kserve
