--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -71,7 +71,7 @@
 };
 std::string read_keys(const deploy::KServe& file, bool front, bool replica, Keys& out) {
   std::string error;
-  if (front) error = tls::CertificateProvider::read(kserve::front_files(file), out.front);
+  if (front) error = tls::CertificateProvider::read(kserve::front_tls_files(file), out.front);
   if (replica && error.empty())
     error = tls::CertificateProvider::read(kserve::replica_files(file), out.replica);
   return error;
@@ -282,7 +282,7 @@
   std::unique_ptr<tls::CertificateProvider> front_keys, replica_keys;
   const auto use_keys = [&](const deploy::KServe& from, Keys keys, bool front_too, bool replica_too) {
     if (front_keys && front_too)
-      front_keys->use(kserve::front_files(from), look_every(from.tls()), std::move(keys.front));
+      front_keys->use(kserve::front_tls_files(from), look_every(from.tls()), std::move(keys.front));
     if (replica_keys && replica_too)
       replica_keys->use(kserve::replica_files(from), look_every(from.replica_tls()), std::move(keys.replica));
   };
--- a/src/kserve/models.cpp
+++ b/src/kserve/models.cpp
@@ -95,7 +95,7 @@
   return out;
 }
 
-tls::Files front_files(const deploy::KServe& file) {
+tls::Files front_tls_files(const deploy::KServe& file) {
   return {file.tls().certificate(), file.tls().key(), file.tls().client_ca()};
 }
 tls::Files replica_files(const deploy::KServe& file) {
