--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -73,7 +73,7 @@
   std::string error;
   if (front) error = tls::CertificateProvider::read(kserve::front_tls_files(file), out.front);
   if (replica && error.empty())
-    error = tls::CertificateProvider::read(kserve::replica_files(file), out.replica);
+    error = tls::CertificateProvider::read(kserve::replica_tls_files(file), out.replica);
   return error;
 }
 
@@ -284,7 +284,8 @@
     if (front_keys && front_too)
       front_keys->use(kserve::front_tls_files(from), look_every(from.tls()), std::move(keys.front));
     if (replica_keys && replica_too)
-      replica_keys->use(kserve::replica_files(from), look_every(from.replica_tls()), std::move(keys.replica));
+      replica_keys->use(kserve::replica_tls_files(from), look_every(from.replica_tls()),
+                        std::move(keys.replica));
   };
   if (file.has_kserve()) {
     kserve::redirect_grpc_log();
--- a/src/kserve/models.cpp
+++ b/src/kserve/models.cpp
@@ -98,7 +98,7 @@
 tls::Files front_tls_files(const deploy::KServe& file) {
   return {file.tls().certificate(), file.tls().key(), file.tls().client_ca()};
 }
-tls::Files replica_files(const deploy::KServe& file) {
+tls::Files replica_tls_files(const deploy::KServe& file) {
   const deploy::ReplicaTls& replica_tls = file.replica_tls();
   return {replica_tls.certificate(), replica_tls.key(), replica_tls.ca()};
 }
--- a/src/kserve/models.h
+++ b/src/kserve/models.h
@@ -66,7 +66,7 @@
 
 // The file must have been validated by operator_file::parse.
 tls::Files front_tls_files(const deploy::KServe& file);
-tls::Files replica_files(const deploy::KServe& file);
+tls::Files replica_tls_files(const deploy::KServe& file);
 ServerSettings front_settings(const deploy::KServe& file);
 
 }  // namespace flintglade::kserve
