--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -311,8 +311,8 @@
     grpc_front = std::make_unique<kserve::GrpcServer>(io, broker, kserve_front, labels(config), config.name,
                                                       front_keys.get());
     if (kserve_front.replica_metadata.on) {
-      grpc_front->ask_replicas(clock, [&grpc_subchannels](std::string method, std::string question,
-                                                          kserve::GrpcServer::Answered answered) {
+      grpc_front->set_replica_query(clock, [&grpc_subchannels](std::string method, std::string question,
+                                                               kserve::GrpcServer::Answered answered) {
         grpc_subchannels->ask(std::move(method), std::move(question), std::move(answered));
       });
     }
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -514,7 +514,7 @@
 
 GrpcServer::~GrpcServer() { stop(); }
 
-void GrpcServer::ask_replicas(core::Clock& clock, ReplicaQuery query_replica) {
+void GrpcServer::set_replica_query(core::Clock& clock, ReplicaQuery query_replica) {
   clock_ = &clock;
   query_replica_ = std::move(query_replica);
 }
--- a/src/kserve/server.h
+++ b/src/kserve/server.h
@@ -39,7 +39,7 @@
   // Sets the function that queries replicas about models that the operator file does not describe.
   using Answered = std::function<void(const grpc::Status&, std::string)>;
   using ReplicaQuery = std::function<void(std::string method, std::string question, Answered)>;
-  void ask_replicas(core::Clock& clock, ReplicaQuery query_replica);
+  void set_replica_query(core::Clock& clock, ReplicaQuery query_replica);
   struct Counters {
     std::uint64_t streams_refused = 0;  // rejected: too many calls were open
     std::uint64_t silent_calls = 0;     // ended: no request arrived in time
