--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -306,7 +306,7 @@
         kserve::ReplicaClientSettings{config.dial_timeout, kserve_front.replica_port,
                                       static_cast<Micros>(kserve_front.limits.replica_ping_s * 1e6),
                                       replica_keys.get(), file.kserve().replica_tls().server_name()});
-    if (replica_keys) replica_keys->on_change([&grpc_subchannels] { grpc_subchannels->renew(); });
+    if (replica_keys) replica_keys->on_change([&grpc_subchannels] { grpc_subchannels->reset_channels(); });
     broker.attach(core::Wire::kserve, *grpc_subchannels);
     grpc_front = std::make_unique<kserve::GrpcServer>(io, broker, kserve_front, labels(config), config.name,
                                                       front_keys.get());
--- a/src/kserve/replica_client.cpp
+++ b/src/kserve/replica_client.cpp
@@ -276,7 +276,7 @@
   std::make_shared<Query>(*this, std::move(method), std::move(question), std::move(answered))->send();
 }
 
-void GrpcReplicaClient::renew() {
+void GrpcReplicaClient::reset_channels() {
   for (auto& [id, subchannel] : subchannels_) subchannel.channel.reset();
 }
 
--- a/src/kserve/replica_client.h
+++ b/src/kserve/replica_client.h
@@ -44,7 +44,7 @@
   void ask(std::string method, std::string question, AnswerHandler answered);
   // New calls use new connections with the current certificate and key; calls in progress keep their
   // connection.
-  void renew();
+  void reset_channels();
   std::size_t unfinished() const { return unfinished_; }  // calls that gRPC still holds
 
  private:
