--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -312,7 +312,7 @@
                                                       front_keys.get());
     if (kserve_front.replica_metadata.on) {
       grpc_front->set_replica_query(clock, [&grpc_subchannels](std::string method, std::string question,
-                                                               kserve::GrpcServer::Answered answered) {
+                                                               kserve::GrpcServer::AnswerHandler answered) {
         grpc_subchannels->ask(std::move(method), std::move(question), std::move(answered));
       });
     }
--- a/src/kserve/server.h
+++ b/src/kserve/server.h
@@ -37,8 +37,8 @@
   // that the server is built with stay.
   void reload(ServerSettings settings);
   // Sets the function that queries replicas about models that the operator file does not describe.
-  using Answered = std::function<void(const grpc::Status&, std::string)>;
-  using ReplicaQuery = std::function<void(std::string method, std::string question, Answered)>;
+  using AnswerHandler = std::function<void(const grpc::Status&, std::string)>;
+  using ReplicaQuery = std::function<void(std::string method, std::string question, AnswerHandler)>;
   void set_replica_query(core::Clock& clock, ReplicaQuery query_replica);
   struct Counters {
     std::uint64_t streams_refused = 0;  // rejected: too many calls were open
