--- a/src/kserve/mapping.cpp
+++ b/src/kserve/mapping.cpp
@@ -116,7 +116,7 @@
   return out;
 }
 
-const Bound* find_bound(const std::vector<Bound>& bound, const std::vector<std::string>& sans) {
+const Bound* find_certificate_binding(const std::vector<Bound>& bound, const std::vector<std::string>& sans) {
   const auto matches = [&sans](const Bound& binding) {
     const bool is_prefix = binding.san.ends_with('*');
     const std::string_view pattern = std::string_view(binding.san).substr(0, binding.san.size() - is_prefix);
--- a/src/kserve/mapping.h
+++ b/src/kserve/mapping.h
@@ -32,7 +32,7 @@
                          const Mapping& mapping, const FindMetadata& metadata, const Bound* bound = nullptr);
 
 // The first of the operator's bindings that matches one of a certificate's subject alternative names.
-const Bound* find_bound(const std::vector<Bound>& bound, const std::vector<std::string>& sans);
+const Bound* find_certificate_binding(const std::vector<Bound>& bound, const std::vector<std::string>& sans);
 
 // For 'flintglade check': one line per field, with its sources in order of precedence.
 std::string describe(const Mapping& mapping);
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -447,10 +447,11 @@
 
 void a_certificate_speaks_for_its_tenant() {
   const std::vector<kserve::Bound> bound{{"spiffe://t/acme/*", "acme", "chat"}, {"ops.test", "ops", ""}};
-  CHECK(kserve::find_bound(bound, {}) == nullptr && kserve::find_bound(bound, {"spiffe://t/acm"}) == nullptr);
-  CHECK(kserve::find_bound(bound, {"x", "spiffe://t/acme/bot"})->tenant == "acme");
-  CHECK(kserve::find_bound(bound, {"ops.test"})->tenant == "ops");
-  CHECK(kserve::find_bound(bound, {"ops.test.evil"}) == nullptr);
+  CHECK(kserve::find_certificate_binding(bound, {}) == nullptr &&
+        kserve::find_certificate_binding(bound, {"spiffe://t/acm"}) == nullptr);
+  CHECK(kserve::find_certificate_binding(bound, {"x", "spiffe://t/acme/bot"})->tenant == "acme");
+  CHECK(kserve::find_certificate_binding(bound, {"ops.test"})->tenant == "ops");
+  CHECK(kserve::find_certificate_binding(bound, {"ops.test.evil"}) == nullptr);
   inference::ModelInferRequest request;
   kserve::Model model;
   model.tenant = "other";  // of requests that say none: the certificate comes before it
