--- a/src/kserve/mapping.cpp
+++ b/src/kserve/mapping.cpp
@@ -91,9 +91,10 @@
 }
 
 MappedLabels map_request(const inference::ModelInferRequest& request, const Model& model,
-                         const Mapping& mapping, const FindMetadata& metadata, const Bound* bound) {
-  static const Bound kNoBinding;
-  const Bound& certificate_binding = bound == nullptr ? kNoBinding : *bound;
+                         const Mapping& mapping, const FindMetadata& metadata,
+                         const CertificateBinding* bound) {
+  static const CertificateBinding kNoBinding;
+  const CertificateBinding& certificate_binding = bound == nullptr ? kNoBinding : *bound;
   MappedLabels out;
   out.request_class = resolve_label(mapping.request_class, kClass, request, model.request_class, metadata,
                                     certificate_binding.request_class);
@@ -116,8 +117,9 @@
   return out;
 }
 
-const Bound* find_certificate_binding(const std::vector<Bound>& bound, const std::vector<std::string>& sans) {
-  const auto matches = [&sans](const Bound& binding) {
+const CertificateBinding* find_certificate_binding(const std::vector<CertificateBinding>& bound,
+                                                   const std::vector<std::string>& sans) {
+  const auto matches = [&sans](const CertificateBinding& binding) {
     const bool is_prefix = binding.san.ends_with('*');
     const std::string_view pattern = std::string_view(binding.san).substr(0, binding.san.size() - is_prefix);
     return std::any_of(sans.begin(), sans.end(), [&](const std::string& san) {
--- a/src/kserve/mapping.h
+++ b/src/kserve/mapping.h
@@ -29,10 +29,12 @@
 
 // bound: the binding of the client's certificate; null: none.
 MappedLabels map_request(const inference::ModelInferRequest& request, const Model& model,
-                         const Mapping& mapping, const FindMetadata& metadata, const Bound* bound = nullptr);
+                         const Mapping& mapping, const FindMetadata& metadata,
+                         const CertificateBinding* bound = nullptr);
 
 // The first of the operator's bindings that matches one of a certificate's subject alternative names.
-const Bound* find_certificate_binding(const std::vector<Bound>& bound, const std::vector<std::string>& sans);
+const CertificateBinding* find_certificate_binding(const std::vector<CertificateBinding>& bound,
+                                                   const std::vector<std::string>& sans);
 
 // For 'flintglade check': one line per field, with its sources in order of precedence.
 std::string describe(const Mapping& mapping);
--- a/src/kserve/models.h
+++ b/src/kserve/models.h
@@ -44,7 +44,8 @@
   std::size_t entries = 64;
   double ttl_s = 60.0, stale_s = 3600.0;
 };
-struct Bound {  // a client certificate with this subject alternative name may act for this tenant
+struct CertificateBinding {  // a client certificate with this subject alternative name may act for this
+                             // tenant
   std::string san, tenant, request_class;
 };
 struct ServerSettings {
@@ -59,7 +60,7 @@
   DescriptionLimits replica_metadata;
   bool fill_version = false, gzip = false;
   bool tls = false, bound_only = false;
-  std::vector<Bound> bound;
+  std::vector<CertificateBinding> bound;
 
   const Model* find(std::string_view name, std::string_view version) const;
 };
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -259,9 +259,10 @@
   std::string apply_labels(const inference::ModelInferRequest& request, const Model& model,
                            core::Request& rpc, std::string& denied) {
     const auto& client_metadata = context_->client_metadata();
-    const Bound* bound = owner_.settings_.bound.empty()
-                             ? nullptr
-                             : find_certificate_binding(owner_.settings_.bound, certificate_names());
+    const CertificateBinding* bound =
+        owner_.settings_.bound.empty()
+            ? nullptr
+            : find_certificate_binding(owner_.settings_.bound, certificate_names());
     if (bound == nullptr && owner_.settings_.bound_only)
       denied = "the client's certificate speaks for no tenant";
     const MappedLabels labels = map_request(
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -446,7 +446,8 @@
 }
 
 void a_certificate_speaks_for_its_tenant() {
-  const std::vector<kserve::Bound> bound{{"spiffe://t/acme/*", "acme", "chat"}, {"ops.test", "ops", ""}};
+  const std::vector<kserve::CertificateBinding> bound{{"spiffe://t/acme/*", "acme", "chat"},
+                                                      {"ops.test", "ops", ""}};
   CHECK(kserve::find_certificate_binding(bound, {}) == nullptr &&
         kserve::find_certificate_binding(bound, {"spiffe://t/acm"}) == nullptr);
   CHECK(kserve::find_certificate_binding(bound, {"x", "spiffe://t/acme/bot"})->tenant == "acme");
