--- a/src/kserve/models.h
+++ b/src/kserve/models.h
@@ -44,8 +44,8 @@
   std::size_t entries = 64;
   double ttl_s = 60.0, stale_s = 3600.0;
 };
-struct CertificateBinding {  // a client certificate with this subject alternative name may act for this
-                             // tenant
+// A client certificate with this subject alternative name may act for this tenant.
+struct CertificateBinding {
   std::string san, tenant, request_class;
 };
 struct ServerSettings {
