--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -79,9 +79,9 @@
 std::string read_tls_material(const deploy::KServe& file, bool server, bool replica_client,
                               TlsMaterial& out) {
   std::string error;
-  if (server) error = tls::CertificateProvider::read(kserve::front_files(file), out.server);
+  if (server) error = tls::CertificateProvider::read(kserve::front_tls_files(file), out.server);
   if (replica_client && error.empty())
-    error = tls::CertificateProvider::read(kserve::replica_files(file), out.replica_client);
+    error = tls::CertificateProvider::read(kserve::replica_tls_files(file), out.replica_client);
   return error;
 }
 
@@ -309,15 +309,15 @@
   const auto use_tls_material = [&](const deploy::KServe& from, TlsMaterial material, bool for_server,
                                     bool for_replica_client) {
     if (server_certificates && for_server)
-      server_certificates->use(kserve::front_files(from), certificate_check_seconds(from.tls()),
+      server_certificates->use(kserve::front_tls_files(from), certificate_check_seconds(from.tls()),
                                std::move(material.server));
     if (replica_client_certificates && for_replica_client)
-      replica_client_certificates->use(kserve::replica_files(from),
+      replica_client_certificates->use(kserve::replica_tls_files(from),
                                        certificate_check_seconds(from.replica_tls()),
                                        std::move(material.replica_client));
   };
   if (file.has_kserve()) {
-    kserve::log_through_ours();
+    kserve::redirect_grpc_log();
     TlsMaterial material;
     error =
         read_tls_material(file.kserve(), file.kserve().has_tls(), file.kserve().has_replica_tls(), material);
@@ -339,13 +339,13 @@
                                       replica_client_certificates.get(),
                                       file.kserve().replica_tls().server_name()});
     if (replica_client_certificates)
-      replica_client_certificates->on_change([&grpc_replica_client] { grpc_replica_client->renew(); });
+      replica_client_certificates->on_change([&grpc_replica_client] { grpc_replica_client->reset_channels(); });
     broker.attach(core::Wire::kserve, *grpc_replica_client);
     grpc_server = std::make_unique<kserve::GrpcServer>(io, broker, kserve_settings, labels(config),
                                                        config.name, server_certificates.get());
     if (kserve_settings.replica_metadata.on) {
-      grpc_server->ask_replicas(clock, [&grpc_replica_client](std::string method, std::string request,
-                                                              kserve::GrpcServer::Answered answered) {
+      grpc_server->set_replica_query(clock, [&grpc_replica_client](std::string method, std::string request,
+                                                              kserve::GrpcServer::AnswerHandler answered) {
         grpc_replica_client->ask(std::move(method), std::move(request), std::move(answered));
       });
     }
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -430,8 +430,8 @@
   CHECK(d.find(a, now).state == State::absent && d.ask(a, now) && !d.ask(a, now) && d.asking(a));
   inference::ModelMetadataResponse said;
   said.set_name("a");
-  d.told(a, said, now);
-  CHECK(d.find(a, now).state == State::known && d.find(a, now).said->name() == "a" && !d.ask(a, now));
+  d.set_known(a, said, now);
+  CHECK(d.find(a, now).state == State::known && d.find(a, now).description->name() == "a" && !d.ask(a, now));
   now = 60 * core::kSecond;  // its time has come: asked anew, and the old word serves
   CHECK(d.find(a, now).state == State::known && d.ask(a, now));
   d.failed(a, now);
@@ -441,17 +441,19 @@
   CHECK(d.find(a, now).state == State::absent);
   CHECK(d.ask(b, now) && d.ask(a, now + core::kSecond));
   CHECK(!d.ask(c, now) && d.size() == 2);  // both have somebody waiting: neither is let go
-  d.told_unknown(b, now);
+  d.set_unknown(b, now);
   CHECK(d.find(b, now).state == State::unknown && d.find(b, now + core::kSecond).state == State::absent);
   CHECK(d.ask(c, now + core::kSecond) && d.size() == 2 && d.asking(a) && !d.asking(b));
 }
 
 void a_certificate_speaks_for_its_tenant() {
-  const std::vector<kserve::Bound> bound{{"spiffe://t/acme/*", "acme", "chat"}, {"ops.test", "ops", ""}};
-  CHECK(kserve::find_bound(bound, {}) == nullptr && kserve::find_bound(bound, {"spiffe://t/acm"}) == nullptr);
-  CHECK(kserve::find_bound(bound, {"x", "spiffe://t/acme/bot"})->tenant == "acme");
-  CHECK(kserve::find_bound(bound, {"ops.test"})->tenant == "ops");
-  CHECK(kserve::find_bound(bound, {"ops.test.evil"}) == nullptr);
+  const std::vector<kserve::CertificateBinding> bound{{"spiffe://t/acme/*", "acme", "chat"},
+                                                      {"ops.test", "ops", ""}};
+  CHECK(kserve::find_certificate_binding(bound, {}) == nullptr &&
+        kserve::find_certificate_binding(bound, {"spiffe://t/acm"}) == nullptr);
+  CHECK(kserve::find_certificate_binding(bound, {"x", "spiffe://t/acme/bot"})->tenant == "acme");
+  CHECK(kserve::find_certificate_binding(bound, {"ops.test"})->tenant == "ops");
+  CHECK(kserve::find_certificate_binding(bound, {"ops.test.evil"}) == nullptr);
   inference::ModelInferRequest request;
   kserve::Model model;
   model.tenant = "other";  // of requests that say none: the certificate comes before it
