--- a/src/conformance/checks.h
+++ b/src/conformance/checks.h
@@ -1,5 +1,6 @@
-// A table of checks against any server of the KServe v2 protocol over gRPC, each with the clause that it
-// tests. Blocking; for a command of its own, not for the router's loop.
+// Conformance checks for any server of the KServe v2 protocol over gRPC. Each check names the clause of the
+// specification that it tests. The calls block, so they run in a command of their own, never on the router's
+// event loop.
 #pragma once
 
 #include <grpcpp/channel.h>
@@ -13,25 +14,26 @@
 
 struct Target {
   std::shared_ptr<grpc::Channel> channel;
-  std::string model;                                          // empty: what needs one is skipped
-  double timeout_s = 5.0;                                     // for each call
-  std::vector<std::pair<std::string, std::string>> metadata;  // with each call
+  std::string model;                                          // empty: checks that need a model are skipped
+  double timeout_s = 5.0;                                     // deadline of each call
+  std::vector<std::pair<std::string, std::string>> metadata;  // sent with each call
 };
 
 enum class Verdict { pass, fail, skip };
 struct Result {
-  std::string name, clause;
+  std::string name, clause;  // clause: the part of the specification under test
   Verdict verdict = Verdict::pass;
-  std::string why;  // of a failure or a skip
+  std::string why;  // reason for a failure or a skip; empty when the check passed
   double seconds = 0.0;
 };
 
-// In the table's order; a check that fails does not stop the rest.
+// Runs every check in a fixed order; a failed check does not stop the ones after it.
 std::vector<Result> run(const Target& target);
 
-// For people: a line each, then the sums.
+// Human-readable report: one line for each check, then the totals.
 std::string table(const std::vector<Result>& results);
-// JUnit's XML, as CI systems read it. Empty, or what is wrong with the file.
+// Writes a JUnit XML report for CI systems. Returns an empty string, or an error when the file cannot be
+// written.
 std::string write_junit(const std::vector<Result>& results, const std::string& target,
                         const std::string& path);
 
--- a/src/pcap/packets.h
+++ b/src/pcap/packets.h
@@ -1,4 +1,4 @@
-// One TCP segment of a savefile, and the conversation that it belongs to.
+// Types shared by the reader and the writer of pcap savefiles.
 #pragma once
 
 #include <array>
@@ -10,20 +10,21 @@
 
 namespace flintglade::pcap {
 
-struct Side {
+struct SocketAddress {
   std::array<std::uint8_t, 4> address{};
   std::uint16_t port = 0;
-  auto operator<=>(const Side&) const = default;
+  auto operator<=>(const SocketAddress&) const = default;
 };
+// The two ends of a TCP connection.
 struct Conversation {
-  Side client, server;
+  SocketAddress client, server;
   auto operator<=>(const Conversation&) const = default;
 };
 
 struct CapturedRequest {
-  core::Micros at = 0;  // when its last byte was on the wire, from the file's first packet on
+  core::Micros at = 0;  // capture time of its last byte, relative to the first packet of the file
   Conversation conversation;
-  std::string head;  // start line and fields as they were, for the record
+  std::string head;  // request line and headers, unchanged; a replay writes them to its record
   core::Request rpc;
 };
 
--- a/src/pcap/reader.cpp
+++ b/src/pcap/reader.cpp
@@ -19,24 +19,24 @@
 namespace beast_http = boost::beast::http;
 using core::Micros;
 
-constexpr std::size_t kMostAhead = 1u << 20;     // bytes kept beyond a gap in one conversation
-constexpr std::size_t kMostRequests = 1u << 20;  // of one file
+constexpr std::size_t kMaxReorderBytes = 1u << 20;  // buffered behind a gap in one direction
+constexpr std::size_t kMaxRequests = 1u << 20;      // limit for one file
 constexpr std::uint8_t kSyn = 0x02;
 
-std::uint32_t be(const std::uint8_t* p, int bytes) {
+std::uint32_t big_endian(const std::uint8_t* data, int size) {
   std::uint32_t value = 0;
-  for (int i = 0; i < bytes; ++i) value = value << 8 | p[i];
+  for (int i = 0; i < size; ++i) value = value << 8 | data[i];
   return value;
 }
 
 struct Segment {
-  Conversation conversation;  // client: the sender
+  Conversation conversation;  // client is the sender of this segment, in either direction
   std::uint32_t sequence = 0;
   bool syn = false;
   std::string_view payload;
 };
 
-// Where the IPv4 header starts; nothing for other protocols and other kinds of link.
+// Offset of the IPv4 header in a frame; empty for other protocols and unsupported link types.
 std::optional<std::size_t> ip_offset(int link, const std::uint8_t* data, std::size_t size) {
   switch (link) {
     case DLT_RAW:
@@ -46,12 +46,12 @@
     case DLT_LOOP:
       return 4;
     case DLT_LINUX_SLL:
-      if (size >= 16 && be(data + 14, 2) == 0x0800) return 16;
+      if (size >= 16 && big_endian(data + 14, 2) == 0x0800) return 16;
       return {};
     case DLT_EN10MB: {
       std::size_t at = 12;
-      if (size >= 18 && be(data + at, 2) == 0x8100) at += 4;  // a VLAN tag
-      if (size >= at + 2 && be(data + at, 2) == 0x0800) return at + 2;
+      if (size >= 18 && big_endian(data + at, 2) == 0x8100) at += 4;  // skip the VLAN tag
+      if (size >= at + 2 && big_endian(data + at, 2) == 0x0800) return at + 2;
       return {};
     }
     default:
@@ -63,54 +63,60 @@
   const auto offset = ip_offset(link, data, size);
   if (!offset || size < *offset + 20) return false;
   const std::uint8_t* ip = data + *offset;
-  const std::size_t have = size - *offset, head = (ip[0] & 0x0f) * 4u;
-  const std::size_t total = be(ip + 2, 2);
-  if (ip[0] >> 4 != 4 || ip[9] != 6 || head < 20 || total < head + 20 || total > have) return false;
-  if ((be(ip + 6, 2) & 0x3fff) != 0) return false;  // a fragment
-  const std::uint8_t* tcp = ip + head;
-  const std::size_t tcp_head = (tcp[12] >> 4) * 4u;
-  if (tcp_head < 20 || total < head + tcp_head) return false;
+  const std::size_t available = size - *offset, ip_header_size = (ip[0] & 0x0f) * 4u;
+  const std::size_t ip_size = big_endian(ip + 2, 2);
+  if (ip[0] >> 4 != 4 || ip[9] != 6 || ip_header_size < 20 || ip_size < ip_header_size + 20 ||
+      ip_size > available)
+    return false;
+  if ((big_endian(ip + 6, 2) & 0x3fff) != 0) return false;  // fragments are not reassembled
+  const std::uint8_t* tcp = ip + ip_header_size;
+  const std::size_t tcp_header_size = (tcp[12] >> 4) * 4u;
+  if (tcp_header_size < 20 || ip_size < ip_header_size + tcp_header_size) return false;
   std::copy_n(ip + 12, 4, out.conversation.client.address.begin());
   std::copy_n(ip + 16, 4, out.conversation.server.address.begin());
-  out.conversation.client.port = static_cast<std::uint16_t>(be(tcp, 2));
-  out.conversation.server.port = static_cast<std::uint16_t>(be(tcp + 2, 2));
-  out.sequence = be(tcp + 4, 4);
+  out.conversation.client.port = static_cast<std::uint16_t>(big_endian(tcp, 2));
+  out.conversation.server.port = static_cast<std::uint16_t>(big_endian(tcp + 2, 2));
+  out.sequence = big_endian(tcp + 4, 4);
   out.syn = (tcp[13] & kSyn) != 0;
-  out.payload = {reinterpret_cast<const char*>(tcp + tcp_head), total - head - tcp_head};
+  out.payload = {reinterpret_cast<const char*>(tcp + tcp_header_size),
+                 ip_size - ip_header_size - tcp_header_size};
   return true;
 }
 
-// One direction of a connection, put back in order, and the requests in it.
+// Reassembles one direction of a TCP connection and parses the requests in it.
 class Direction {
  public:
-  void add(const Segment& s, Micros at, const config::Labels& labels, ReadResult& out) {
-    if (s.syn) {
+  void add(const Segment& segment, Micros at, const config::Labels& labels, ReadResult& out) {
+    if (segment.syn) {
       *this = {};
-      next_ = s.sequence + 1;
+      next_sequence_ = segment.sequence + 1;
       return;
     }
-    if (s.payload.empty() || broken_) return;
-    if (!next_) next_ = s.sequence;  // the file starts in the middle of it
-    ahead_.emplace_back(s.sequence, std::string(s.payload));
-    ahead_bytes_ += s.payload.size();
-    for (bool moved = true; moved;) {
-      moved = false;
-      for (auto it = ahead_.begin(); it != ahead_.end();) {
-        const auto before = static_cast<std::int32_t>(*next_ - it->first);  // bytes already seen
-        if (before < 0) {
-          ++it;
+    if (segment.payload.empty() || unreadable_) return;
+    // Without a SYN, the capture starts in the middle of the connection.
+    if (!next_sequence_) next_sequence_ = segment.sequence;
+    out_of_order_.emplace_back(segment.sequence, std::string(segment.payload));
+    out_of_order_bytes_ += segment.payload.size();
+    for (bool progressed = true; progressed;) {
+      progressed = false;
+      for (auto pending = out_of_order_.begin(); pending != out_of_order_.end();) {
+        // Bytes of this segment that were read before; negative behind a gap.
+        const auto already_read = static_cast<std::int32_t>(*next_sequence_ - pending->first);
+        if (already_read < 0) {
+          ++pending;
           continue;
         }
-        const std::string bytes = std::move(it->second);
-        ahead_bytes_ -= bytes.size();
-        it = ahead_.erase(it);
-        if (static_cast<std::size_t>(before) >= bytes.size()) continue;  // sent again
-        *next_ += static_cast<std::uint32_t>(bytes.size() - before);
-        feed(std::string_view(bytes).substr(before), s.conversation, at, labels, out);
-        moved = true;
+        const std::string bytes = std::move(pending->second);
+        out_of_order_bytes_ -= bytes.size();
+        pending = out_of_order_.erase(pending);
+        if (static_cast<std::size_t>(already_read) >= bytes.size()) continue;  // a retransmission
+        *next_sequence_ += static_cast<std::uint32_t>(bytes.size() - already_read);
+        feed(std::string_view(bytes).substr(already_read), segment.conversation, at, labels, out);
+        progressed = true;
       }
     }
-    if (ahead_bytes_ > kMostAhead) broken_ = true;  // a lost segment: what follows cannot be read
+    // A segment is missing from the capture: the bytes behind the gap cannot be parsed.
+    if (out_of_order_bytes_ > kMaxReorderBytes) unreadable_ = true;
   }
 
  private:
@@ -119,7 +125,7 @@
     const auto room = buffer_.prepare(bytes.size());
     std::copy(bytes.begin(), bytes.end(), static_cast<char*>(room.data()));
     buffer_.commit(bytes.size());
-    while (buffer_.size() > 0 && !broken_) {
+    while (buffer_.size() > 0 && !unreadable_) {
       if (!parser_) {
         parser_ = std::make_unique<Parser>();
         parser_->eager(true);
@@ -128,7 +134,7 @@
       boost::system::error_code ec;
       buffer_.consume(parser_->put(buffer_.data(), ec));
       if (ec && ec != beast_http::error::need_more) {
-        broken_ = true;  // the other direction, or no HTTP at all
+        unreadable_ = true;  // the direction with the responses, or not HTTP
       } else if (parser_->is_done()) {
         http::Request request = parser_->release();
         parser_.reset();
@@ -136,7 +142,7 @@
         std::ostringstream head;
         head << request.base();
         CapturedRequest captured{at, conversation, head.str(), {}};
-        if (out.requests.size() < kMostRequests &&
+        if (out.requests.size() < kMaxRequests &&
             http::to_rpc(std::move(request), labels, captured.rpc).empty()) {
           out.requests.push_back(std::move(captured));
         } else {
@@ -149,10 +155,10 @@
   }
 
   using Parser = beast_http::request_parser<beast_http::string_body>;
-  std::optional<std::uint32_t> next_;
-  std::vector<std::pair<std::uint32_t, std::string>> ahead_;
-  std::size_t ahead_bytes_ = 0;
-  bool broken_ = false;
+  std::optional<std::uint32_t> next_sequence_;
+  std::vector<std::pair<std::uint32_t, std::string>> out_of_order_;
+  std::size_t out_of_order_bytes_ = 0;
+  bool unreadable_ = false;
   boost::beast::flat_buffer buffer_;
   std::unique_ptr<Parser> parser_;
 };
@@ -169,8 +175,8 @@
   std::optional<Micros> first;
   pcap_pkthdr* header = nullptr;
   const u_char* data = nullptr;
-  int got = 0;
-  while ((got = pcap_next_ex(file.get(), &header, &data)) == 1) {
+  int read_status = 0;
+  while ((read_status = pcap_next_ex(file.get(), &header, &data)) == 1) {
     ++out.packets;
     const Micros at = header->ts.tv_sec * core::kSecond + header->ts.tv_usec;
     if (!first) first = at;
@@ -181,7 +187,7 @@
     }
     directions[segment.conversation].add(segment, std::max<Micros>(0, at - *first), labels, out);
   }
-  if (got == PCAP_ERROR) return "pcap: " + std::string(pcap_geterr(file.get()));
+  if (read_status == PCAP_ERROR) return "pcap: " + std::string(pcap_geterr(file.get()));
   return "";
 }
 
--- a/src/pcap/reader.h
+++ b/src/pcap/reader.h
@@ -1,5 +1,5 @@
-// Reads the requests that a pcap savefile holds: HTTP/1.1 over TCP over IPv4, as the platform's clients send
-// them. It never captures.
+// Reads the requests in a pcap savefile: HTTP/1.1 over TCP over IPv4, as the platform's clients send them. It
+// only reads files and never captures from an interface.
 #pragma once
 
 #include <string>
@@ -11,13 +11,14 @@
 namespace flintglade::pcap {
 
 struct ReadResult {
-  std::vector<CapturedRequest> requests;  // in the order in which they were whole
+  std::vector<CapturedRequest> requests;  // ordered by when their last byte was captured
   std::size_t packets = 0;
-  std::size_t skipped = 0;    // packets that are not TCP over IPv4, or cut short
-  std::size_t malformed = 0;  // requests that a client of the platform would not send
+  std::size_t skipped = 0;  // packets that are truncated or not TCP over IPv4
+  // Requests that do not follow the platform's request format, or exceed the limit for one file.
+  std::size_t malformed = 0;
 };
 
-// Empty, or one line that says why the file cannot be read.
+// Returns an empty string, or a one-line error when the file cannot be read.
 std::string read_requests(const std::string& path, const config::Labels& labels, ReadResult& out);
 
 }  // namespace flintglade::pcap
--- a/src/pcap/replay.h
+++ b/src/pcap/replay.h
@@ -1,5 +1,5 @@
-// A savefile as a source of traffic: its requests go through the core at the pace at which they were
-// recorded, and what became of them is written to another savefile.
+// Replays a savefile: sends its requests through the core at the pace at which they were recorded, and can
+// write the requests and their responses to another savefile.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -18,16 +18,17 @@
  public:
   Replay(boost::asio::io_context& io, core::Broker& broker, core::Clock& clock);
   ~Replay();
-  // Empty, or one line that says what is wrong. to: empty for no record.
-  std::string open(const std::string& from, const std::string& to, const config::Labels& labels);
-  // Starts once the router is ready; done is called when every request has its answer.
+  // Returns an empty string, or a one-line error. An empty record_path writes no record.
+  std::string open(const std::string& source_path, const std::string& record_path,
+                   const config::Labels& labels);
+  // Starts sending once the router is ready; calls done when every request has been answered.
   void start(std::function<void()> done);
   const ReadResult& source() const { return source_; }
 
  private:
   class Exchange;
   void pump();
-  void answered();
+  void on_answered();
 
   boost::asio::io_context& io_;
   core::Broker& broker_;
@@ -36,8 +37,8 @@
   ReadResult source_;
   std::unique_ptr<Writer> writer_;
   std::function<void()> done_;
-  std::size_t next_ = 0, open_ = 0;
-  core::Micros started_ = 0;
+  std::size_t next_request_ = 0, unanswered_ = 0;
+  core::Micros started_at_ = 0;
   core::Micros unix_offset_ = 0;
 };
 
--- a/src/pcap/writer.h
+++ b/src/pcap/writer.h
@@ -1,4 +1,5 @@
-// Writes exchanges as a pcap savefile: each conversation as the TCP segments that would have carried it.
+// Writes HTTP exchanges to a pcap savefile. Each conversation is written as the TCP segments that would have
+// carried it.
 #pragma once
 
 #include <memory>
@@ -17,9 +18,10 @@
  public:
   Writer();
   ~Writer();
-  std::string open(const std::string& path);  // empty, or one line that says why it cannot be written
+  // Returns an empty string, or a one-line error when the file cannot be written.
+  std::string open(const std::string& path);
 
-  // One exchange on a connection of its own. Sequence numbers are its state.
+  // One HTTP exchange on its own TCP connection, with the next sequence number of each direction.
   struct Exchange {
     Conversation conversation;
     std::uint32_t client_next = 0, server_next = 0;
@@ -27,19 +29,20 @@
   Exchange begin(const Conversation& conversation, core::Micros at);
   void from_client(Exchange& exchange, std::string_view bytes, core::Micros at);
   void from_server(Exchange& exchange, std::string_view bytes, core::Micros at);
-  void end(Exchange& exchange, bool whole, core::Micros at);  // not whole: a reset instead of a FIN
+  // Closes the connection: with FIN when the response is complete, otherwise with RST.
+  void end(Exchange& exchange, bool complete, core::Micros at);
 
  private:
-  struct Close {
+  struct HandleCloser {
     void operator()(::pcap* p) const;
     void operator()(::pcap_dumper* p) const;
   };
-  void payload(const Side& from, const Side& to, std::uint32_t& next, std::uint32_t acknowledged,
-               std::string_view bytes, core::Micros at);
-  void packet(const Side& from, const Side& to, std::uint32_t sequence, std::uint32_t acknowledged,
-              std::uint8_t flags, std::string_view bytes, core::Micros at);
-  std::unique_ptr<::pcap, Close> file_;
-  std::unique_ptr<::pcap_dumper, Close> dump_;
+  void payload(const SocketAddress& from, const SocketAddress& to, std::uint32_t& next,
+               std::uint32_t acknowledged, std::string_view bytes, core::Micros at);
+  void packet(const SocketAddress& from, const SocketAddress& to, std::uint32_t sequence,
+              std::uint32_t acknowledged, std::uint8_t flags, std::string_view bytes, core::Micros at);
+  std::unique_ptr<::pcap, HandleCloser> file_;
+  std::unique_ptr<::pcap_dumper, HandleCloser> dump_;
 };
 
 }  // namespace flintglade::pcap
--- a/tests/certs.cpp
+++ b/tests/certs.cpp
@@ -15,25 +15,25 @@
 namespace flintglade::tests {
 namespace {
 
-struct Free {
+struct Deleter {
   void operator()(X509* p) const { X509_free(p); }
   void operator()(EVP_PKEY* p) const { EVP_PKEY_free(p); }
   void operator()(std::FILE* p) const { std::fclose(p); }
 };
 template <typename T>
-using Own = std::unique_ptr<T, Free>;
+using OwnedPtr = std::unique_ptr<T, Deleter>;
 
-Own<std::FILE> open(const std::string& path, const char* how) {
-  Own<std::FILE> file(std::fopen(path.c_str(), how));
-  if (!file) throw std::runtime_error("no file " + path);
+OwnedPtr<std::FILE> open(const std::string& path, const char* mode) {
+  OwnedPtr<std::FILE> file(std::fopen(path.c_str(), mode));
+  if (!file) throw std::runtime_error("cannot open " + path);
   return file;
 }
 
-void extend(X509* cert, X509* issuer, int nid, const std::string& value) {
+void add_extension(X509* cert, X509* issuer, int nid, const std::string& value) {
   X509V3_CTX context;
   X509V3_set_ctx(&context, issuer, cert, nullptr, nullptr, 0);
   X509_EXTENSION* extension = X509V3_EXT_conf_nid(nullptr, &context, nid, value.c_str());
-  if (extension == nullptr) throw std::runtime_error("no extension of " + value);
+  if (extension == nullptr) throw std::runtime_error("invalid value of a certificate extension: " + value);
   X509_add_ext(cert, extension, -1);
   X509_EXTENSION_free(extension);
 }
@@ -41,30 +41,32 @@
 }  // namespace
 
 void make_certificate(const std::string& folder, const std::string& name, const std::string& ca,
-                      const std::string& sans, long from_s, long to_s) {
+                      const std::string& sans, long valid_from_s, long valid_until_s) {
   const std::string path = folder + "/" + name;
-  const Own<EVP_PKEY> key(EVP_EC_gen("P-256"));
-  const Own<X509> cert(X509_new());
+  const OwnedPtr<EVP_PKEY> key(EVP_EC_gen("P-256"));
+  const OwnedPtr<X509> cert(X509_new());
   X509_set_version(cert.get(), 2);
   ASN1_INTEGER_set(X509_get_serialNumber(cert.get()), static_cast<long>(std::random_device{}() >> 1));
-  X509_gmtime_adj(X509_getm_notBefore(cert.get()), from_s);
-  X509_gmtime_adj(X509_getm_notAfter(cert.get()), to_s);
+  X509_gmtime_adj(X509_getm_notBefore(cert.get()), valid_from_s);
+  X509_gmtime_adj(X509_getm_notAfter(cert.get()), valid_until_s);
   X509_set_pubkey(cert.get(), key.get());
-  const auto* cn = reinterpret_cast<const unsigned char*>(name.c_str());
-  X509_NAME_add_entry_by_txt(X509_get_subject_name(cert.get()), "CN", MBSTRING_ASC, cn, -1, -1, 0);
-  Own<X509> issuer;
-  Own<EVP_PKEY> signer;
+  const auto* common_name = reinterpret_cast<const unsigned char*>(name.c_str());
+  X509_NAME_add_entry_by_txt(X509_get_subject_name(cert.get()), "CN", MBSTRING_ASC, common_name, -1, -1, 0);
+  OwnedPtr<X509> issuer;
+  OwnedPtr<EVP_PKEY> signer;
   if (!ca.empty()) {
     issuer.reset(PEM_read_X509(open(folder + "/" + ca + ".pem", "r").get(), nullptr, nullptr, nullptr));
     signer.reset(PEM_read_PrivateKey(open(folder + "/" + ca + ".key", "r").get(), nullptr, nullptr, nullptr));
-    if (!issuer || !signer) throw std::runtime_error("no authority " + ca);
+    if (!issuer || !signer)
+      throw std::runtime_error("cannot read the certificate or key of the authority " + ca);
   }
-  X509* by = issuer ? issuer.get() : cert.get();
-  X509_set_issuer_name(cert.get(), X509_get_subject_name(by));
-  extend(cert.get(), by, NID_basic_constraints, ca.empty() ? "critical,CA:TRUE" : "critical,CA:FALSE");
-  if (!sans.empty()) extend(cert.get(), by, NID_subject_alt_name, sans);
+  X509* issuer_cert = issuer ? issuer.get() : cert.get();
+  X509_set_issuer_name(cert.get(), X509_get_subject_name(issuer_cert));
+  add_extension(cert.get(), issuer_cert, NID_basic_constraints,
+                ca.empty() ? "critical,CA:TRUE" : "critical,CA:FALSE");
+  if (!sans.empty()) add_extension(cert.get(), issuer_cert, NID_subject_alt_name, sans);
   X509_sign(cert.get(), signer ? signer.get() : key.get(), EVP_sha256());
-  // Written beside and moved, as tools that rotate certificates do.
+  // Written to temporary files and renamed, as tools that rotate certificates do.
   PEM_write_X509(open(path + ".pem.new", "w").get(), cert.get());
   PEM_write_PrivateKey(open(path + ".key.new", "w").get(), key.get(), nullptr, nullptr, 0, nullptr, nullptr);
   ::chmod((path + ".key.new").c_str(), 0600);
--- a/tests/measure/dns.cpp
+++ b/tests/measure/dns.cpp
@@ -1,7 +1,9 @@
-// Measures the DNS source against the stand-in server: how a change spreads, what it costs. Not a test:
-// figures only. docs/measurements/dns.md has them, and how to repeat them.
-//   measure_dns spread    time from a change in DNS to the first and last of N resolvers that has it, by TTL
-//   measure_dns turn N    longest handler on the loop while N records are refreshed, and memory for them
+// Measures the DNS source against the stand-in DNS server: how fast a change spreads and what it costs. This
+// is not a test; it only prints measurements. docs/measurements/dns.md has the results and how to repeat
+// them.
+//   measure_dns spread    time from a change in DNS until the first, median and last of N resolvers see it,
+//                         for several TTLs
+//   measure_dns turn N    longest handler on the event loop while N records are refreshed, and their memory
 #include <malloc.h>
 
 #include <algorithm>
@@ -45,21 +47,21 @@
 
 struct Watcher final : dns::ResolverListener {
   std::size_t targets = 0;
-  Steady::time_point at;
+  Steady::time_point changed_at;
   void answered(const std::string&, const dns::SrvAnswer& answer) override {
     if (answer.targets.size() == targets) return;
     targets = answer.targets.size();
-    at = Steady::now();
+    changed_at = Steady::now();
   }
   void failed(const std::string&, const std::string&) override {}
 };
 
-void spread() {
+void measure_spread() {
   std::printf("ttl_s resolvers first_ms median_ms last_ms queries_per_s\n");
   for (const std::uint32_t ttl : {1u, 5u, 10u}) {
     for (const int count : {1, 10, 50}) {
       std::vector<double> delays;
-      double rate = 0.0;
+      double query_count = 0.0;
       for (int round = 0; round < 3; ++round) {
         DnsServer server;
         server.zone("hall", make_zone(0, 10, ttl));
@@ -78,16 +80,18 @@
         server.zone("hall", make_zone(0, 11, ttl));
         const auto changed = Steady::now();
         io.run_for(std::chrono::milliseconds(1000 * ttl + 500));
-        rate += server.queries() - before;
-        for (const auto& w : watchers) {
-          if (w->targets == 11)
-            delays.push_back(std::chrono::duration<double, std::milli>(w->at - changed).count());
+        query_count += server.queries() - before;
+        for (const auto& watcher : watchers) {
+          if (watcher->targets == 11)
+            delays.push_back(
+                std::chrono::duration<double, std::milli>(watcher->changed_at - changed).count());
         }
         clients.clear();
       }
       std::sort(delays.begin(), delays.end());
       std::printf("%u %d %.0f %.0f %.0f %.1f (%zu of %d)\n", ttl, count, delays.front(),
-                  delays[delays.size() / 2], delays.back(), rate / 3 / (ttl + 0.5), delays.size(), 3 * count);
+                  delays[delays.size() / 2], delays.back(), query_count / 3 / (ttl + 0.5), delays.size(),
+                  3 * count);
       std::fflush(stdout);
     }
   }
@@ -101,17 +105,17 @@
   return resident * 4;
 }
 
-void turn(int records) {
+void measure_refresh(int records) {
   DnsServer server;
   boost::asio::io_context io(1);
   commands::MonotonicClock clock;
   discovery::Watch watch(io, clock, {}, {}, discovery::BootClock(0));
   deploy::Membership file;
   std::vector<endpoint_sources::SourceSpec> specs;
-  const int each = 500;
-  for (int from = 0; from < records; from += each) {
-    const std::string name = "z" + std::to_string(from / each);
-    server.zone(name, make_zone(from, std::min(each, records - from), 3));
+  const int records_per_zone = 500;
+  for (int from = 0; from < records; from += records_per_zone) {
+    const std::string name = "z" + std::to_string(from / records_per_zone);
+    server.zone(name, make_zone(from, std::min(records_per_zone, records - from), 3));
     endpoint_sources::SourceSpec spec;
     spec.name = name;
     spec.dns_name = "_model._tcp." + name + ".test.";
@@ -121,14 +125,15 @@
   file.mutable_resolver()->set_cache_entries(200000);
   const long before = resident_kb();
   endpoint_sources::EndpointSources sources(io, clock, watch, file, specs);
-  std::size_t told = 0;
-  sources.set_update_handler([&told](core::EndpointListUpdate news) { told += news.entries.size(); });
+  std::size_t delivered = 0;
+  sources.set_update_handler(
+      [&delivered](core::EndpointListUpdate update) { delivered += update.entries.size(); });
   sources.start("");
-  std::vector<double> handlers;
-  double at_first = 0.0, at_change = 0.0;
+  std::vector<double> handler_times_us;
+  double longest_at_start_us = 0.0, longest_after_change_us = 0.0;
   bool changed = false;
   const auto start = Steady::now();
-  double whole_s = 0.0;
+  double complete_s = 0.0;
   while (Steady::now() - start < std::chrono::seconds(20)) {
     const auto from = Steady::now();
     if (io.stopped()) io.restart();
@@ -136,40 +141,41 @@
       std::this_thread::sleep_for(std::chrono::microseconds(200));
       continue;
     }
-    const double took = std::chrono::duration<double, std::micro>(Steady::now() - from).count();
+    const double handler_us = std::chrono::duration<double, std::micro>(Steady::now() - from).count();
     const auto since = Steady::now() - start;
     if (since < std::chrono::seconds(3)) {
-      at_first = std::max(at_first, took);
+      longest_at_start_us = std::max(longest_at_start_us, handler_us);
     } else if (!changed) {
-      handlers.push_back(took);
+      handler_times_us.push_back(handler_us);
     } else {
-      at_change = std::max(at_change, took);
+      longest_after_change_us = std::max(longest_after_change_us, handler_us);
     }
     if (!changed && since > std::chrono::seconds(12)) {
       changed = true;
-      server.zone("z0", make_zone(1, std::min(each, records) - 1, 3));
+      server.zone("z0", make_zone(1, std::min(records_per_zone, records) - 1, 3));
     }
-    if (whole_s == 0.0 && sources.merger().merged_endpoints().size() >= static_cast<std::size_t>(records))
-      whole_s = std::chrono::duration<double>(Steady::now() - start).count();
+    if (complete_s == 0.0 && sources.merger().merged_endpoints().size() >= static_cast<std::size_t>(records))
+      complete_s = std::chrono::duration<double>(Steady::now() - start).count();
   }
-  std::sort(handlers.begin(), handlers.end());
+  std::sort(handler_times_us.begin(), handler_times_us.end());
   std::printf(
       "records=%d known_after_s=%.2f handlers=%zu p50_us=%.0f p99_us=%.0f longest_us=%.0f at_first_us=%.0f "
       "at_change_us=%.0f memory_kb=%ld "
       "cached=%zu queries=%d told=%zu\n",
-      records, whole_s, handlers.size(), handlers[handlers.size() / 2], handlers[handlers.size() * 99 / 100],
-      handlers.back(), at_first, at_change, resident_kb() - before, sources.resolver().cached(),
-      server.queries(), told);
+      records, complete_s, handler_times_us.size(), handler_times_us[handler_times_us.size() / 2],
+      handler_times_us[handler_times_us.size() * 99 / 100], handler_times_us.back(), longest_at_start_us,
+      longest_after_change_us, resident_kb() - before, sources.resolver().cached(), server.queries(),
+      delivered);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::string what = argc > 1 ? argv[1] : "";
-  if (what == "spread") {
-    spread();
-  } else if (what == "turn" && argc > 2) {
-    turn(std::atoi(argv[2]));
+  const std::string mode = argc > 1 ? argv[1] : "";
+  if (mode == "spread") {
+    measure_spread();
+  } else if (mode == "turn" && argc > 2) {
+    measure_refresh(std::atoi(argv[2]));
   } else {
     std::fprintf(stderr, "usage: measure_dns spread | turn RECORDS\n");
     return 2;
--- a/tests/storage/checksummed_file_test.cpp
+++ b/tests/storage/checksummed_file_test.cpp
@@ -7,23 +7,23 @@
 namespace flintglade::storage {
 namespace {
 
-constexpr FileForm kForm{"test", 2, 100, "it is something else"};
+constexpr FileForm kForm{"test", 2, 100, "not a test file"};
 
 std::string error_of(const std::string& bytes) {
   return std::string(decode_checksummed(kForm, bytes).status().message());
 }
 
-TEST(ChecksummedFile, GivesTheBodyBack) {
+TEST(ChecksummedFile, ReturnsTheBody) {
   const std::string bytes = encode_checksummed(kForm, "body");
   const auto body = decode_checksummed(kForm, bytes);
   ASSERT_TRUE(body.ok());
   EXPECT_EQ(*body, "body");
 }
 
-TEST(ChecksummedFile, SaysWhatIsWrong) {
+TEST(ChecksummedFile, ReportsTheError) {
   const std::string bytes = encode_checksummed(kForm, "body");
-  EXPECT_EQ(error_of(""), "it is something else");
-  EXPECT_EQ(error_of("x" + bytes), "it is something else");
+  EXPECT_EQ(error_of(""), "not a test file");
+  EXPECT_EQ(error_of("x" + bytes), "not a test file");
   EXPECT_EQ(error_of(bytes.substr(0, bytes.size() - 1)), "it is torn");
   EXPECT_EQ(error_of(bytes + "x"), "it is torn");
   std::string changed = bytes;
