--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -339,15 +339,17 @@
                                       replica_client_certificates.get(),
                                       file.kserve().replica_tls().server_name()});
     if (replica_client_certificates)
-      replica_client_certificates->on_change([&grpc_replica_client] { grpc_replica_client->reset_channels(); });
+      replica_client_certificates->on_change(
+          [&grpc_replica_client] { grpc_replica_client->reset_channels(); });
     broker.attach(core::Wire::kserve, *grpc_replica_client);
     grpc_server = std::make_unique<kserve::GrpcServer>(io, broker, kserve_settings, labels(config),
                                                        config.name, server_certificates.get());
     if (kserve_settings.replica_metadata.on) {
-      grpc_server->set_replica_query(clock, [&grpc_replica_client](std::string method, std::string request,
-                                                              kserve::GrpcServer::AnswerHandler answered) {
-        grpc_replica_client->ask(std::move(method), std::move(request), std::move(answered));
-      });
+      grpc_server->set_replica_query(
+          clock, [&grpc_replica_client](std::string method, std::string request,
+                                        kserve::GrpcServer::AnswerHandler answered) {
+            grpc_replica_client->ask(std::move(method), std::move(request), std::move(answered));
+          });
     }
     error = grpc_server->listen();
     if (!error.empty()) return diagnose(error);
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -451,8 +451,8 @@
   inference::ModelMetadataResponse metadata;
   metadata.set_name("a");
   descriptions.set_known(a, metadata, now);
-  CHECK(descriptions.find(a, now).state == State::known && descriptions.find(a, now).description->name() == "a" &&
-        !descriptions.ask(a, now));
+  CHECK(descriptions.find(a, now).state == State::known &&
+        descriptions.find(a, now).description->name() == "a" && !descriptions.ask(a, now));
   now = 60 * core::kSecond;  // due for a refresh: queried again, and the cached description stays in use
   CHECK(descriptions.find(a, now).state == State::known && descriptions.ask(a, now));
   descriptions.failed(a, now);
@@ -472,8 +472,10 @@
 }
 
 void certificate_determines_the_tenant() {
-  const std::vector<kserve::CertificateBinding> bound{{"spiffe://t/acme/*", "acme", "chat"}, {"ops.test", "ops", ""}};
-  CHECK(kserve::find_certificate_binding(bound, {}) == nullptr && kserve::find_certificate_binding(bound, {"spiffe://t/acm"}) == nullptr);
+  const std::vector<kserve::CertificateBinding> bound{{"spiffe://t/acme/*", "acme", "chat"},
+                                                      {"ops.test", "ops", ""}};
+  CHECK(kserve::find_certificate_binding(bound, {}) == nullptr &&
+        kserve::find_certificate_binding(bound, {"spiffe://t/acm"}) == nullptr);
   CHECK(kserve::find_certificate_binding(bound, {"x", "spiffe://t/acme/bot"})->tenant == "acme");
   CHECK(kserve::find_certificate_binding(bound, {"ops.test"})->tenant == "ops");
   CHECK(kserve::find_certificate_binding(bound, {"ops.test.evil"}) == nullptr);
