--- a/scripts/check_names.sh
+++ b/scripts/check_names.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# Refuses names that docs/naming.md has withdrawn: those in scripts/withdrawn_names.txt, one a line, as whole words.
-# Files that map old names to new ones, and records of the past, may have them.
+# Rejects names that docs/naming.md has withdrawn: those in scripts/withdrawn_names.txt, one per line, as
+# whole words. Files that map old names to new ones, and historical records, may contain them.
 #
 #   scripts/check_names.sh            the files of the repository
-#   scripts/check_names.sh FILE...    these files (the self check plants a name in one)
+#   scripts/check_names.sh FILE...    these files (used by the self check)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -17,7 +17,7 @@
   exit
 fi
 
-# Self check: a file with one withdrawn name is refused, and one with a name that only contains it is not.
+# Self check: a file with a withdrawn name is rejected, and one with a name that only contains it is accepted.
 echo "void f(RpcRequest& request);" > "$planted"
 if "$0" "$planted" >/dev/null; then echo "check_names: a planted name was not found"; exit 1; fi
 echo "void f(MyRpcRequests& request);" > "$planted"
--- a/scripts/install_packages.sh
+++ b/scripts/install_packages.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Installs the Debian packages that the build, the tests and the checks of .ci/run need. Installs nothing, and
-# asks no registry, where all of them are there.
+# Installs the Debian packages that the build, the tests and the checks of .ci/run need. Without missing
+# packages it does nothing and contacts no package registry.
 #
-# The packages of the deploy build are those that deploy/balancer.toml lists.
+# The packages of the deploy build are listed in deploy/balancer.toml.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tests/adapter.sh
+++ b/tests/adapter.sh
@@ -1,11 +1,11 @@
 #!/bin/bash
-# Drives the adapter's pipe from outside: empty batches, the end of input, malformed frames.
+# Tests the adapter's pipe protocol from outside: empty batches, the end of input, malformed frames.
 # Usage: tests/adapter.sh PATH-TO-SIMHOST
 set -u
 host=$1
 failed=0
 passed=0
-check() { # name, hex input, wanted exit code, wanted hex output ('-': any), wanted words on standard error
+check() { # name, hex input, expected exit code, expected hex output ('-': any), expected text on standard error
   local out code err
   err=$(mktemp)
   out=$(printf "$(printf '%s' "$2" | tr -d ' ' | sed 's/../\\x&/g')" | "$host" 2>"$err" | od -An -v -tx1 | tr -d ' \n'; exit "${PIPESTATUS[1]}")
@@ -35,7 +35,8 @@
 check "a setting that is no number" \
   "26000000 $clock 02000000 0b0400000003000000 01 18000000 0100000000000000 0c000000 62616c616e636572733d7878" \
   1 - "balancers has the value"
-# PROVISION without settings, an empty cached list, DETACH, PROVISION again in the same batch, an unknown GONE
+# PROVISION without settings, an empty cached list, DETACH, PROVISION again in the same batch, GONE of an
+# unknown request
 start="01 0c000000 0100000000000000 00000000 02 09000000 01 01000000 00000000"
 check "restart in one batch" \
   "59000000 $clock 07000000 0b0400000003000000 $start 0a00000000 $start 06080000000900000000000000" 0 \
--- a/tests/faults/faults.cpp
+++ b/tests/faults/faults.cpp
@@ -1,5 +1,5 @@
-// Loaded into a program under test (LD_PRELOAD): lets chosen system calls fail in the ways that Linux
-// documents, and the wall clock be off. Never a part of the program that is served.
+// Loaded into a program under test with LD_PRELOAD: makes chosen system calls fail in the ways that Linux
+// documents and shifts the wall clock. Never part of a released program.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -40,7 +40,7 @@
 }
 
 template <typename Function>
-Function next(const char* name) {
+Function next_symbol(const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -56,37 +56,38 @@
   return port_of(reinterpret_cast<const sockaddr*>(&peer));
 }
 
-// The error with which this call fails; kShort; or 0. port: its peer's, asked for only where that matters.
+// The errno with which this call is to fail, kShort, or 0 for no fault. port: returns the peer's port; called
+// only if the fault is restricted to one.
 template <typename Port>
-int fails(Call call, const Port& port) {
+int injected_error(Call call, const Port& port) {
   if (control() == nullptr) return 0;
   Fault& fault = control()->faults[static_cast<std::size_t>(call)];
-  if (fault.left.load() <= 0) return 0;
+  if (fault.remaining.load() <= 0) return 0;
   if (fault.port.load() != 0 && fault.port.load() != port()) return 0;
-  if (fault.left.fetch_sub(1) <= 0) return 0;
+  if (fault.remaining.fetch_sub(1) <= 0) return 0;
   fault.hits.fetch_add(1);
   return fault.error.load();
 }
-int fails(Call call) {
-  return fails(call, [] { return 0; });
+int injected_error(Call call) {
+  return injected_error(call, [] { return 0; });
 }
 int fails_with(int error) {
   errno = error;
   return -1;
 }
 
-// The first byte of what a message has room for.
-template <typename Message, typename Do>
-ssize_t one_byte(const Message& message, const Do& with) {
+// Runs the transfer with the message's first non-empty buffer cut to one byte.
+template <typename Message, typename Transfer>
+ssize_t one_byte(const Message& message, const Transfer& transfer) {
   for (std::size_t i = 0; i < message.msg_iovlen; ++i) {
     if (message.msg_iov[i].iov_len == 0) continue;
-    iovec one{message.msg_iov[i].iov_base, 1};
-    msghdr small{};
-    small.msg_iov = &one;
-    small.msg_iovlen = 1;
-    return with(&small);
+    iovec first_byte{message.msg_iov[i].iov_base, 1};
+    msghdr header{};
+    header.msg_iov = &first_byte;
+    header.msg_iovlen = 1;
+    return transfer(&header);
   }
-  return with(&message);
+  return transfer(&message);
 }
 
 }  // namespace
@@ -94,101 +95,103 @@
 extern "C" {
 
 int accept(int descriptor, sockaddr* address, socklen_t* size) {
-  static const auto real = next<int (*)(int, sockaddr*, socklen_t*)>("accept");
-  const int error = fails(Call::accept);
+  static const auto real = next_symbol<int (*)(int, sockaddr*, socklen_t*)>("accept");
+  const int error = injected_error(Call::accept);
   return error != 0 ? fails_with(error) : real(descriptor, address, size);
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  static const auto real = next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  const int error = fails(Call::accept);
+  static const auto real = next_symbol<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  const int error = injected_error(Call::accept);
   return error != 0 ? fails_with(error) : real(descriptor, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-  static const auto real = next<int (*)(int, int, int)>("socket");
-  const int error = domain == AF_INET || domain == AF_INET6 ? fails(Call::socket) : 0;
+  static const auto real = next_symbol<int (*)(int, int, int)>("socket");
+  const int error = domain == AF_INET || domain == AF_INET6 ? injected_error(Call::socket) : 0;
   return error != 0 ? fails_with(error) : real(domain, type, protocol);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static const auto real = next<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  const int error = fails(Call::connect, [address] { return port_of(address); });
+  static const auto real = next_symbol<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  const int error = injected_error(Call::connect, [address] { return port_of(address); });
   return error != 0 ? fails_with(error) : real(descriptor, address, size);
 }
 
-int epoll_wait(int descriptor, epoll_event* events, int most, int timeout) {
-  static const auto real = next<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  const int error = fails(Call::wait);
-  return error != 0 ? fails_with(error) : real(descriptor, events, most, timeout);
+int epoll_wait(int descriptor, epoll_event* events, int max_events, int timeout) {
+  static const auto real = next_symbol<int (*)(int, epoll_event*, int, int)>("epoll_wait");
+  const int error = injected_error(Call::wait);
+  return error != 0 ? fails_with(error) : real(descriptor, events, max_events, timeout);
 }
 
 ssize_t recv(int descriptor, void* to, size_t size, int flags) {
-  static const auto real = next<ssize_t (*)(int, void*, size_t, int)>("recv");
-  const int error = (flags & MSG_PEEK) != 0 ? 0 : fails(Call::receive, [=] { return peer_port(descriptor); });
+  static const auto real = next_symbol<ssize_t (*)(int, void*, size_t, int)>("recv");
+  const int error =
+      (flags & MSG_PEEK) != 0 ? 0 : injected_error(Call::receive, [=] { return peer_port(descriptor); });
   if (error > 0) return fails_with(error);
   return real(descriptor, to, error == kShort && size > 1 ? 1 : size, flags);
 }
 
 ssize_t recvmsg(int descriptor, msghdr* message, int flags) {
-  static const auto real = next<ssize_t (*)(int, msghdr*, int)>("recvmsg");
-  const int error = fails(Call::receive, [=] { return peer_port(descriptor); });
+  static const auto real = next_symbol<ssize_t (*)(int, msghdr*, int)>("recvmsg");
+  const int error = injected_error(Call::receive, [=] { return peer_port(descriptor); });
   if (error > 0) return fails_with(error);
   if (error == kShort)
-    return one_byte(*message,
-                    [=](const msghdr* one) { return real(descriptor, const_cast<msghdr*>(one), flags); });
+    return one_byte(*message, [=](const msghdr* shortened) {
+      return real(descriptor, const_cast<msghdr*>(shortened), flags);
+    });
   return real(descriptor, message, flags);
 }
 
 ssize_t send(int descriptor, const void* from, size_t size, int flags) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t, int)>("send");
-  const int error = fails(Call::send, [=] { return peer_port(descriptor); });
+  static const auto real = next_symbol<ssize_t (*)(int, const void*, size_t, int)>("send");
+  const int error = injected_error(Call::send, [=] { return peer_port(descriptor); });
   if (error > 0) return fails_with(error);
   return real(descriptor, from, error == kShort && size > 1 ? 1 : size, flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static const auto real = next<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
-  const int error = fails(Call::send, [=] { return peer_port(descriptor); });
+  static const auto real = next_symbol<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
+  const int error = injected_error(Call::send, [=] { return peer_port(descriptor); });
   if (error > 0) return fails_with(error);
   if (error == kShort)
-    return one_byte(*message, [=](const msghdr* one) { return real(descriptor, one, flags); });
+    return one_byte(*message, [=](const msghdr* shortened) { return real(descriptor, shortened, flags); });
   return real(descriptor, message, flags);
 }
 
 ssize_t pwrite(int descriptor, const void* from, size_t size, off_t at) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
-  const int error = fails(Call::write);
+  static const auto real = next_symbol<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
+  const int error = injected_error(Call::write);
   if (error > 0) return fails_with(error);
   return real(descriptor, from, error == kShort && size > 1 ? 1 : size, at);
 }
 
 int fsync(int descriptor) {
-  static const auto real = next<int (*)(int)>("fsync");
-  const int error = fails(Call::sync);
+  static const auto real = next_symbol<int (*)(int)>("fsync");
+  const int error = injected_error(Call::sync);
   return error != 0 ? fails_with(error) : real(descriptor);
 }
 
 int fdatasync(int descriptor) {
-  static const auto real = next<int (*)(int)>("fdatasync");
-  const int error = fails(Call::sync);
+  static const auto real = next_symbol<int (*)(int)>("fdatasync");
+  const int error = injected_error(Call::sync);
   return error != 0 ? fails_with(error) : real(descriptor);
 }
 
 int rename(const char* from, const char* to) {
-  static const auto real = next<int (*)(const char*, const char*)>("rename");
-  const int error = fails(Call::rename);
+  static const auto real = next_symbol<int (*)(const char*, const char*)>("rename");
+  const int error = injected_error(Call::rename);
   return error != 0 ? fails_with(error) : real(from, to);
 }
 
 int ftruncate(int descriptor, off_t size) {
-  static const auto real = next<int (*)(int, off_t)>("ftruncate");
-  const int error = fails(Call::truncate);
+  static const auto real = next_symbol<int (*)(int, off_t)>("ftruncate");
+  const int error = injected_error(Call::truncate);
   return error != 0 ? fails_with(error) : real(descriptor, size);
 }
 
 int clock_gettime(clockid_t which, timespec* to) {
-  static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+  static const auto real = next_symbol<int (*)(clockid_t, timespec*)>("clock_gettime");
   const int result = real(which, to);
   if (result != 0 || which != CLOCK_REALTIME || control() == nullptr) return result;
   const std::int64_t offset = control()->wall_offset_us.load();
--- a/tests/faults/faults.h
+++ b/tests/faults/faults.h
@@ -1,4 +1,5 @@
-// The test's side of the injected faults: the page that tells them, and the environment that loads them.
+// The test's side of fault injection: owns the shared control page and provides the environment that loads
+// the library.
 #pragma once
 
 #include <map>
@@ -15,9 +16,10 @@
   Faults(const Faults&) = delete;
   Faults& operator=(const Faults&) = delete;
 
-  // For the process that they are for, beside its own.
+  // To be added to the environment of the program under test.
   std::map<std::string, std::string> environment() const;
-  // So many of the next calls fail like this: an errno's name, or 'short'. port: of the peer; 0: whoever.
+  // Makes the next count calls fail. error: the name of an errno, or 'short' (one byte is transferred). port:
+  // only sockets with this peer port; 0: all.
   void set(const std::string& call, int count, const std::string& error, int port = 0);
   int hits(const std::string& call) const;
   void wall_clock(double seconds_off);
--- a/tests/faults/faults_control.cpp
+++ b/tests/faults/faults_control.cpp
@@ -11,7 +11,7 @@
 namespace flintglade::tests {
 namespace {
 
-int error_named(const std::string& name) {
+int parse_error_name(const std::string& name) {
   static const std::map<std::string, int> kNames = {{"short", kShort},
                                                     {"ECONNABORTED", ECONNABORTED},
                                                     {"EMFILE", EMFILE},
@@ -26,7 +26,7 @@
                                                     {"ENOSPC", ENOSPC},
                                                     {"EIO", EIO}};
   const auto it = kNames.find(name);
-  if (it == kNames.end()) throw std::runtime_error("no error is called " + name);
+  if (it == kNames.end()) throw std::runtime_error("unknown error name in step 'faults': " + name);
   return it->second;
 }
 
@@ -36,10 +36,11 @@
   char name[] = "/tmp/flintglade-faults-XXXXXX";
   const int file = ::mkstemp(name);
   path_ = name;
-  if (file < 0 || ::ftruncate(file, sizeof(Control)) != 0) throw std::runtime_error("no page for faults");
+  if (file < 0 || ::ftruncate(file, sizeof(Control)) != 0)
+    throw std::runtime_error("cannot create the fault control file in /tmp");
   void* page = ::mmap(nullptr, sizeof(Control), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
-  if (page == MAP_FAILED) throw std::runtime_error("the page for faults cannot be mapped");
+  if (page == MAP_FAILED) throw std::runtime_error("cannot map the fault control file");
   control_ = static_cast<Control*>(page);
 }
 
@@ -49,7 +50,8 @@
 }
 
 std::map<std::string, std::string> Faults::environment() const {
-  // Under AddressSanitizer its own library wants to be the first one loaded; ours changes nothing of it.
+  // AddressSanitizer requires its runtime to be loaded first; this library does not interfere with it, so the
+  // check is switched off.
   return {{"LD_PRELOAD", FLINTGLADE_FAULTS_LIBRARY},
           {kControlVariable, path_},
           {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
@@ -57,16 +59,17 @@
 
 Fault& Faults::fault(const std::string& call) const {
   const auto it = std::find(std::begin(kCallNames), std::end(kCallNames), call);
-  if (it == std::end(kCallNames)) throw std::runtime_error("no call is called " + call);
+  if (it == std::end(kCallNames))
+    throw std::runtime_error("unknown system call in step 'faults' or 'hit': " + call);
   return control_->faults[it - std::begin(kCallNames)];
 }
 
 void Faults::set(const std::string& call, int count, const std::string& error, int port) {
-  Fault& to = fault(call);
-  to.left = 0;
-  to.error = error_named(error);
-  to.port = port;
-  to.left = count;
+  Fault& target = fault(call);
+  target.remaining = 0;
+  target.error = parse_error_name(error);
+  target.port = port;
+  target.remaining = count;
 }
 
 int Faults::hits(const std::string& call) const { return fault(call).hits; }
--- a/tests/h2_replica.cpp
+++ b/tests/h2_replica.cpp
@@ -16,8 +16,8 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-std::string framed(
-    const std::string& message) {  // gRPC over HTTP/2: a flag, four octets of length, the message
+// A length-prefixed message of gRPC over HTTP/2: a compression flag, four octets of length, the message.
+std::string grpc_frame(const std::string& message) {
   std::string out(5, '\0');
   for (int i = 0; i < 4; ++i)
     out[static_cast<std::size_t>(4 - i)] = static_cast<char>(message.size() >> (8 * i));
@@ -32,8 +32,8 @@
 
 class H2Replica final : public Replica {
  public:
-  explicit H2Replica(Words words)
-      : words_(std::move(words)), listener_([this](tcp::socket& s) { serve(s); }) {}
+  explicit H2Replica(Options options)
+      : options_(std::move(options)), listener_([this](tcp::socket& s) { serve(s); }) {}
   ~H2Replica() override {
     behaviour.stopping = true;
     listener_.stop();
@@ -42,8 +42,8 @@
 
  private:
   struct Stream {
-    std::string out;  // what of its body is still to go
-    bool asked = false, done = false;
+    std::string unsent;  // the part of the response body that is not sent yet
+    bool request_received = false, done = false;
   };
   struct Connection {
     H2Replica& owner;
@@ -53,22 +53,22 @@
     bool silent = false, close = false;
   };
 
-  std::string word(const std::string& name, const std::string& otherwise) const {
-    const auto it = words_.find(name);
-    return it == words_.end() ? otherwise : it->second;
+  std::string option(const std::string& name, const std::string& fallback) const {
+    const auto it = options_.find(name);
+    return it == options_.end() ? fallback : it->second;
   }
   std::string messages(int from, int n) const {
     std::string out;
     for (int i = from; i < from + n; ++i) {
       inference::ModelStreamInferResponse event;
       event.mutable_infer_response()->set_model_version(std::to_string(i));
-      out += framed(event.SerializeAsString());
+      out += grpc_frame(event.SerializeAsString());
     }
     return out;
   }
 
   void serve(tcp::socket& socket) {
-    Connection c{*this, socket, nullptr, {}, false, false};
+    Connection connection{*this, socket, nullptr, {}, false, false};
     nghttp2_session_callbacks* callbacks = nullptr;
     nghttp2_session_callbacks_new(&callbacks);
     nghttp2_session_callbacks_set_send_callback(
@@ -81,106 +81,110 @@
     nghttp2_session_callbacks_set_on_frame_recv_callback(
         callbacks, [](nghttp2_session*, const nghttp2_frame* frame, void* user) {
           const bool body = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
-          auto& conn = *static_cast<Connection*>(user);
+          auto& received_on = *static_cast<Connection*>(user);
           if (body && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0)
-            conn.owner.asked(conn, frame->hd.stream_id);
+            received_on.owner.on_request(received_on, frame->hd.stream_id);
           return 0;
         });
-    nghttp2_session_server_new(&c.session, callbacks, &c);
+    nghttp2_session_server_new(&connection.session, callbacks, &connection);
     nghttp2_session_callbacks_del(callbacks);
-    nghttp2_submit_settings(c.session, NGHTTP2_FLAG_NONE, nullptr, 0);
+    nghttp2_submit_settings(connection.session, NGHTTP2_FLAG_NONE, nullptr, 0);
     std::array<std::uint8_t, 16384> bytes;
     boost::system::error_code ec;
-    nghttp2_session_send(c.session);
-    while (!c.close) {
+    nghttp2_session_send(connection.session);
+    while (!connection.close) {
       const std::size_t n = socket.read_some(asio::buffer(bytes), ec);
       if (ec) break;
-      if (c.silent) continue;
-      if (nghttp2_session_mem_recv(c.session, bytes.data(), n) < 0 || nghttp2_session_send(c.session) != 0)
+      if (connection.silent) continue;
+      if (nghttp2_session_mem_recv(connection.session, bytes.data(), n) < 0 ||
+          nghttp2_session_send(connection.session) != 0)
         break;
-      if (c.silent) continue;
-      for (auto& [id, stream] : c.streams) {
-        if (stream.asked && !stream.done && stream.out.empty()) after(c, id, stream);
+      if (connection.silent) continue;
+      for (auto& [id, stream] : connection.streams) {
+        if (stream.request_received && !stream.done && stream.unsent.empty())
+          finish_stream(connection, id, stream);
       }
-      if (nghttp2_session_send(c.session) != 0) break;
+      if (nghttp2_session_send(connection.session) != 0) break;
     }
-    nghttp2_session_del(c.session);
+    nghttp2_session_del(connection.session);
   }
 
-  void asked(Connection& c, std::int32_t id) {
+  void on_request(Connection& connection, std::int32_t id) {
     ++behaviour.calls;
     const std::string& kind = behaviour.kind;
     const int n = behaviour.events;
-    Stream& stream = c.streams[id];
-    stream.asked = true;
+    Stream& stream = connection.streams[id];
+    stream.request_received = true;
     if (kind == "h2.silent") {
-      c.silent = true;
+      connection.silent = true;
       return;
     }
     if (kind == "h2.going") {
-      nghttp2_submit_goaway(c.session, NGHTTP2_FLAG_NONE, 0, NGHTTP2_NO_ERROR, nullptr, 0);
+      nghttp2_submit_goaway(connection.session, NGHTTP2_FLAG_NONE, 0, NGHTTP2_NO_ERROR, nullptr, 0);
       stream.done = true;
       return;
     }
-    stream.out = messages(0, n);
+    stream.unsent = messages(0, n);
     if (kind == "h2.goaway") {
-      nghttp2_submit_goaway(c.session, NGHTTP2_FLAG_NONE, id, NGHTTP2_NO_ERROR, nullptr, 0);
-      stream.out += messages(n, n);
+      nghttp2_submit_goaway(connection.session, NGHTTP2_FLAG_NONE, id, NGHTTP2_NO_ERROR, nullptr, 0);
+      stream.unsent += messages(n, n);
     }
-    if (kind == "h2.big") stream.out = framed(std::string(300 << 10, 'x'));
-    if (kind == "h2.torn") stream.out = framed(std::string(100, 'x')).substr(0, 50);
-    // No message first: what comes next comes alone, without headers of its own.
-    if (!stream.out.empty()) respond(c, id);
+    if (kind == "h2.big") stream.unsent = grpc_frame(std::string(300 << 10, 'x'));
+    if (kind == "h2.torn") stream.unsent = grpc_frame(std::string(100, 'x')).substr(0, 50);
+    // Without a message no response headers are sent: the stream's end is the only frame.
+    if (!stream.unsent.empty()) respond(connection, id);
   }
 
-  void respond(Connection& c, std::int32_t id) {
+  void respond(Connection& connection, std::int32_t id) {
     const std::string status = "200", type = "application/grpc";
     const std::array<nghttp2_nv, 2> head{header(":status", status), header("content-type", type)};
     nghttp2_data_provider provider;
     provider.source.ptr = nullptr;
     provider.read_callback = [](nghttp2_session*, std::int32_t stream_id, std::uint8_t* to, std::size_t room,
                                 std::uint32_t*, nghttp2_data_source*, void* user) -> ssize_t {
-      std::string& out = static_cast<Connection*>(user)->streams[stream_id].out;
-      const std::size_t n = std::min(room, out.size());
-      if (n == 0) return NGHTTP2_ERR_DEFERRED;  // until after() says how it goes on
-      std::memcpy(to, out.data(), n);
-      out.erase(0, n);
+      std::string& unsent = static_cast<Connection*>(user)->streams[stream_id].unsent;
+      const std::size_t n = std::min(room, unsent.size());
+      if (n == 0) return NGHTTP2_ERR_DEFERRED;  // until finish_stream() submits the end of the stream
+      std::memcpy(to, unsent.data(), n);
+      unsent.erase(0, n);
       return static_cast<ssize_t>(n);
     };
-    nghttp2_submit_response(c.session, id, head.data(), head.size(), &provider);
+    nghttp2_submit_response(connection.session, id, head.data(), head.size(), &provider);
   }
 
-  // All its messages are on the wire.
-  void after(Connection& c, std::int32_t id, Stream& stream) {
+  // Ends the stream once all its messages have been written.
+  void finish_stream(Connection& connection, std::int32_t id, Stream& stream) {
     stream.done = true;
     const std::string& kind = behaviour.kind;
-    // gRPC lets go of messages that it has not handed over when a reset overtakes them.
+    // gRPC discards received messages that it has not delivered yet when a reset arrives.
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     if (kind == "h2.rst") {
-      nghttp2_submit_rst_stream(c.session, NGHTTP2_FLAG_NONE, id,
-                                static_cast<std::uint32_t>(std::stoi(word("code", "8"))));
+      nghttp2_submit_rst_stream(connection.session, NGHTTP2_FLAG_NONE, id,
+                                static_cast<std::uint32_t>(std::stoi(option("code", "8"))));
     } else if (kind == "h2.close") {
-      c.close = true;
+      connection.close = true;
     } else {
-      const std::string status = "200", type = "application/grpc", code = word("status", "0");
-      const bool alone = kind == "h2.trailers" && behaviour.events == 0;
+      const std::string status = "200", type = "application/grpc", code = option("status", "0");
+      const bool trailers_only = kind == "h2.trailers" && behaviour.events == 0;
       const std::array<nghttp2_nv, 3> head{header(":status", status), header("content-type", type),
                                            header("grpc-status", code)};
-      if (alone) {
-        nghttp2_submit_headers(c.session, NGHTTP2_FLAG_END_STREAM, id, nullptr, head.data(), head.size(),
-                               nullptr);
+      if (trailers_only) {
+        nghttp2_submit_headers(connection.session, NGHTTP2_FLAG_END_STREAM, id, nullptr, head.data(),
+                               head.size(), nullptr);
       } else {
-        nghttp2_submit_trailer(c.session, id, &head[2], 1);
+        nghttp2_submit_trailer(connection.session, id, &head[2], 1);
       }
     }
   }
 
-  Words words_;
+  Options options_;
   Listener listener_;
 };
 
 }  // namespace
 
-std::unique_ptr<Replica> make_h2_replica(const Words& words) { return std::make_unique<H2Replica>(words); }
+std::unique_ptr<Replica> make_h2_replica(const Options& options) {
+  return std::make_unique<H2Replica>(options);
+}
 
 }  // namespace flintglade::tests
--- a/tests/models/check.sh
+++ b/tests/models/check.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# Checks the model, and that each planted fault is found. check.sh MODEL [FLAG...]
+# Checks a model with Spin: no errors without flags, and at least one for each flag, which plants a fault.
+#
+#   check.sh MODEL [FLAG...]
 set -eu
 model=$(cd "$(dirname "$1")" && pwd)/$(basename "$1")
 shift
--- a/tests/models/escrow.pml
+++ b/tests/models/escrow.pml
@@ -1,28 +1,32 @@
-/* A stock in parts: the record, banks that own the job one after another, and holders that ask, spend and give back.
- * Messages are lost, doubled, and come in any order and at any time. Each part is one unit. Left out: what runs on
- * clocks (a part's time is over whenever its holder likes; a bank's lease ends whenever the record likes), windows, and
- * parts that routers lend one another (they take from a part before they give).
+/* Quota leases from a limited stock: the replicated record, quota allocators ('bank') that own the job one
+ * after another, and quota holders that request, spend and return leases. Messages are lost, duplicated,
+ * reordered and delayed without limit. Each quota lease ('part') is one unit. Not modelled: expiry by clocks
+ * (a holder may return a lease, and the record may replace the allocator, at any time), windows, and units
+ * that routers lend one another (these are taken from a lease before they are lent).
  *
- * RETAKE: a holder takes what comes for an ask that it has answered already. TWICE: a bank takes a part back as often as
- * it is told. ANYBANK: a later bank takes back what an earlier one handed out. KEEP: a holder gives back a part and spends
- * it. NOFENCE: the record lets a former bank draw again what it has drawn. Each has to be found.
+ * Planted faults, each of which has to be found:
+ * RETAKE: a holder accepts a lease for a request that it no longer waits for.
+ * TWICE: an allocator accepts the return of a lease each time that the message arrives.
+ * ANYBANK: an allocator accepts the return of a lease that an earlier allocator granted.
+ * KEEP: a holder returns a lease and still spends it.
+ * NOFENCE: the record lets a former allocator repeat a draw that it has already made.
  */
 #define WHOLE 1
 #define BANKS 2
 #define SERIALS 3
 
 byte drawn, spent;
-byte number = 1;     /* of the bank, by the record */
-byte last_draw;      /* its last draw's serial */
+byte number = 1;     /* fencing token of the current allocator, in the record */
+byte last_draw;      /* serial number of its last draw */
 byte granted;
 byte pool, serial, drawing, draws;
 bool out[SERIALS + 1];
-byte asked[2], answer[2]; /* by the bank: a holder's last ask, and the serial that it got (0: nothing) */
+byte asked[2], answer[2]; /* kept by the allocator, per holder: last request, and the serial granted for it (0: none) */
 
-chan draw = [1] of { byte, byte };               /* bank, serial */
-chan ask = [1] of { byte, byte };                /* who, ask */
-chan parcel = [2] of { byte, byte, byte, byte }; /* who, ask, bank, serial */
-chan back = [1] of { byte, byte };               /* bank, serial */
+chan draw = [1] of { byte, byte };               /* allocator, serial */
+chan ask = [1] of { byte, byte };                /* holder, request */
+chan parcel = [2] of { byte, byte, byte, byte }; /* holder, request, allocator, serial */
+chan back = [1] of { byte, byte };               /* allocator, serial */
 
 active proctype record() {
   byte b, s;
@@ -39,7 +43,7 @@
 #endif
        :: else
        fi; b = 0; s = 0 }
-  :: atomic { number < BANKS ->  /* another bank, which knows nothing */
+  :: atomic { number < BANKS ->  /* a new allocator, without its predecessor's state */
        number++; last_draw = 0; granted = 0;
        pool = 0; serial = 0; drawing = 0; draws = 0;
        asked[0] = 0; asked[1] = 0; answer[0] = 0; answer[1] = 0;
@@ -51,7 +55,7 @@
   byte who, a, b, s;
 end: do
   :: atomic { drawing == 0 && draws < 2 -> draws++; drawing = draws }
-  :: atomic { drawing > 0 && nfull(draw) -> draw!number, drawing }  /* as often as it likes */
+  :: atomic { drawing > 0 && nfull(draw) -> draw!number, drawing }  /* may be resent at any time */
   :: atomic { drawing > 0 && last_draw == drawing -> pool = pool + granted; drawing = 0 }
   :: atomic { ask??who, a ->
        if
@@ -110,7 +114,7 @@
   od
 }
 
-/* Loses. What is read may stay where it is, and comes again. */
+/* Loses messages. Duplicates arise where receivers may read a message without removing it. */
 active proctype network() {
   byte w, a, b, s;
 end: do
--- a/tests/models/owner.pml
+++ b/tests/models/owner.pml
@@ -1,10 +1,12 @@
-/* Lease, fencing and late waking of one job: two routers, the voters as one that is always right (their agreement is
- * the library's matter), messages that take any time, are lost, or come in any order, and a router that stops between
- * its look at the lease and its write. Left out: voters that change or fail, clocks that run apart (the margin stands
- * for them), more than one change of owner.
+/* Lease and fencing of one job, with a lease holder that is suspended: two routers, the voters as one process
+ * that is always consistent (the Raft library is responsible for their agreement), messages that are delayed,
+ * lost or reordered, and a router that stops between checking its lease and writing. Not modelled: voters
+ * that change or fail, clock drift (MARGIN stands for it), more than one change of owner.
  *
- * EARLY: voters grant before the lease is surely over. NOFENCE: receivers take any number. TAKEBACK: a release that is
- * on its way does not keep its sender from renewing. Each has to be found.
+ * Planted faults, each of which has to be found:
+ * EARLY: the voters grant the job before the lease has certainly expired.
+ * NOFENCE: receivers accept any fencing token.
+ * TAKEBACK: a router may still renew its lease after it has sent a release.
  */
 #define LEASE 2
 #define MARGIN 1
@@ -17,7 +19,7 @@
 bool released[2];
 byte seen;
 
-chan renewals = [1] of { byte, byte, byte }; /* who, number, when sent */
+chan renewals = [1] of { byte, byte, byte }; /* router, fencing token, time of sending */
 chan answers = [1] of { byte, byte, byte };
 chan releases = [1] of { byte };
 chan effects = [1] of { byte };
@@ -67,7 +69,7 @@
   :: atomic { PROVED(me) && !released[me] && nfull(releases) ->
        until[me] = 0; released[me] = true; releases!mine[me] }
   :: PROVED(me) -> to_write = mine[me];
-     /* here it may be stopped for as long as it likes */
+     /* the router may be suspended here for any time */
      if :: nfull(effects) -> effects!to_write :: skip fi
   od
 }
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -28,14 +28,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kPatienceMs = 20'000;  // how long a step waits for what must come; no verdict hangs on less
+// How long a step waits for its condition. Long enough that no result depends on the speed of the machine.
+constexpr int kStepTimeoutMs = 20'000;
 
-[[noreturn]] void wrong(const std::string& what) { throw std::runtime_error(what); }
+[[noreturn]] void fail(const std::string& what) { throw std::runtime_error(what); }
 
-void until(const std::string& what, const std::function<bool()>& so) {
-  if (!within(kPatienceMs, so)) wrong(what + " has not come about");
+void wait_until(const std::string& what, const std::function<bool()>& condition) {
+  if (!within(kStepTimeoutMs, condition)) fail(what + ": not reached within the step timeout");
 }
 
+// Replaces '_' by a blank, \n by a newline and any other escaped character by a carriage return.
 std::string unescape(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -53,13 +55,13 @@
   Program(const std::string& path, unsigned short discovery, Protocol protocol, const std::string& sockets,
           const std::string& membership, const std::string& kserve, bool admin = false, int replayed = 0,
           const std::map<std::string, std::string>& environment = {})
-      : kserve_(protocol == Protocol::kserve), admin_(admin), more_(kserve), path_(path) {
+      : serves_kserve_(protocol == Protocol::kserve), admin_(admin), kserve_settings_(kserve), path_(path) {
     char name[] = "/tmp/flintglade-test-XXXXXX";
-    if (mkdtemp(name) == nullptr) wrong("no folder for the configuration");
+    if (mkdtemp(name) == nullptr) fail("cannot create a folder for the configuration in /tmp");
     folder_ = name;
     sockets_ = sockets;
-    configure(discovery);
-    operator_file(membership);
+    write_config(discovery);
+    write_operator_file(membership);
     write_savefile(replayed);
     Start start{path, {}, {}, -1};
     start.environment = {{"GW_CONFIG", folder_ + "/config.json"},
@@ -67,7 +69,7 @@
     start.environment.insert(environment.begin(), environment.end());
     if (replayed > 0) {
       start.arguments = {"serve", "--replay", savefile(), "--record", record()};
-    } else if (kserve_ || !membership.empty()) {
+    } else if (serves_kserve_ || !membership.empty()) {
       start.arguments = {"serve", "--operator", folder_ + "/operator.textproto"};
     }
     process_ = std::make_unique<Process>(start);
@@ -78,14 +80,14 @@
       ::unlink((folder_ + file).c_str());
     ::rmdir(folder_.c_str());
   }
-  void operator_file(const std::string& membership) {
+  void write_operator_file(const std::string& membership) {
     std::ofstream(folder_ + "/operator.textproto")
-        << (kserve_ ? "kserve { listen: \"127.0.0.1:0\" models { name: \"shared\" versions: \"1\" }" + more_ +
-                          " }\n"
-                    : "")
+        << (serves_kserve_ ? "kserve { listen: \"127.0.0.1:0\" models { name: \"shared\" versions: \"1\" }" +
+                                 kserve_settings_ + " }\n"
+                           : "")
         << membership;
   }
-  // What another command prints on standard output, given the operator's file.
+  // Runs another command of the program with the operator's file as its last argument; returns its output.
   std::string run(const std::string& command) {
     const std::string line = "GW_CONFIG=" + folder_ + "/config.json " + path_ + " " + command + " " +
                              folder_ + "/operator.textproto 2>&1";
@@ -97,7 +99,7 @@
     if (pipe != nullptr) ::pclose(pipe);
     return out;
   }
-  void configure(unsigned short discovery) {
+  void write_config(unsigned short discovery) {
     std::ofstream(folder_ + "/config.json")
         << "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":"
         << "\"127.0.0.1:" << discovery << "\",\"seed\":\"8c1f\","
@@ -105,32 +107,37 @@
         << "\"limits\":{\"memory_mb\":192,\"sockets\":" << sockets_ << "},"
         << "\"settings\":" << kSettings << "}";
   }
-  void kserve(const std::string& more) { more_ = more; }
-  // It is to end by itself, with status 1 and one line that has these words.
-  void fails(const std::string& words) {
+  void set_kserve_settings(const std::string& settings) { kserve_settings_ = settings; }
+  // Expects the program to exit by itself with status 1 and exactly one plain line (not a log event), which
+  // contains this text.
+  void expect_start_failure(const std::string& expected_text) {
     int status = 0;
-    until("the exit", [&] { return process_->ended(status); });
-    until("a line", [&] { return log().find('\n') != std::string::npos; });
-    std::string all = log(), last;
-    std::istringstream lines(all);
-    int plain = 0;
+    wait_until("process exit", [&] { return process_->ended(status); });
+    wait_until("a line of output", [&] { return log().find('\n') != std::string::npos; });
+    std::string output = log(), failure_line;
+    std::istringstream lines(output);
+    int plain_lines = 0;
     for (std::string line; std::getline(lines, line);) {
-      if (line.rfind("flintglade: ", 0) == 0 && ++plain > 0) last = line;
+      if (line.rfind("flintglade: ", 0) == 0 && ++plain_lines > 0) failure_line = line;
     }
-    if (!WIFEXITED(status) || WEXITSTATUS(status) != 1 || plain != 1 || last.find(words) == std::string::npos)
-      wrong("status " + std::to_string(status) + ", it said " + all);
+    if (!WIFEXITED(status) || WEXITSTATUS(status) != 1 || plain_lines != 1 ||
+        failure_line.find(expected_text) == std::string::npos)
+      fail("unexpected start: wait status " + std::to_string(status) + ", output: " + output);
   }
-  void reload(bool bad, const std::string& of_operator = "none") {
-    if (bad && of_operator == "none") std::ofstream(folder_ + "/config.json") << "{\"settings\":";
+  // Reloads the configuration, or the operator's file if operator_file is not 'none', and waits for the log
+  // line of its success or, if bad, of its rejection. A bad configuration is written here; a bad operator's
+  // file by the caller.
+  void reload(bool bad, const std::string& operator_file = "none") {
+    if (bad && operator_file == "none") std::ofstream(folder_ + "/config.json") << "{\"settings\":";
     process_->signal(SIGHUP);
-    const char* line = !bad                    ? "event=reloaded "
-                       : of_operator == "none" ? "event=reload_rejected why=\"config: "
-                                               : "event=reload_rejected ";
-    until("the word of the reload", [&] {
+    const char* line = !bad                      ? "event=reloaded "
+                       : operator_file == "none" ? "event=reload_rejected why=\"config: "
+                                                 : "event=reload_rejected ";
+    wait_until("log line of the reload", [&] {
       const std::string all = log();
-      const std::size_t at = all.find(line, seen_);
+      const std::size_t at = all.find(line, reload_search_from_);
       if (at == std::string::npos || all.find('\n', at) == std::string::npos) return false;
-      seen_ = at + 1;
+      reload_search_from_ = at + 1;
       return true;
     });
   }
@@ -140,13 +147,13 @@
     const std::size_t before = log().size();
     process_->signal(SIGUSR1);
     std::string all;
-    until("the line of counters", [&] {
+    wait_until("log line event=counters", [&] {
       all = log();
       const std::size_t line = all.find("event=counters", before);
       return line != std::string::npos && all.find('\n', line) != std::string::npos;
     });
     const std::size_t at = all.find(" " + name + "=", all.find("event=counters", before));
-    if (at == std::string::npos) wrong("there is no counter " + name);
+    if (at == std::string::npos) fail("no such counter: " + name);
     return std::atol(all.c_str() + at + name.size() + 2);
   }
   pid_t pid() const { return process_->pid(); }
@@ -158,8 +165,8 @@
   }
   void wait_for_exit() {
     int status = 0;
-    until("the exit", [&] { return process_->ended(status); });
-    if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) wrong("exit status " + std::to_string(status));
+    wait_until("process exit", [&] { return process_->ended(status); });
+    if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) fail("exit status " + std::to_string(status));
   }
 
  private:
@@ -177,9 +184,9 @@
       writer.end(exchange, true, at);
     }
   }
-  bool kserve_, admin_;
-  std::string more_, path_, folder_, sockets_;
-  std::size_t seen_ = 0;  // of the log, by reload
+  bool serves_kserve_, admin_;
+  std::string kserve_settings_, path_, folder_, sockets_;
+  std::size_t reload_search_from_ = 0;  // where in the log reload() searches for its next line
   std::unique_ptr<Process> process_;
 };
 
@@ -188,11 +195,11 @@
   Run(Protocol protocol, std::string path) : protocol_(protocol), path_(std::move(path)) {}
   ~Run() {
     std::error_code ignored;
-    if (!certs_.empty()) std::filesystem::remove_all(certs_, ignored);
+    if (!certificates_folder_.empty()) std::filesystem::remove_all(certificates_folder_, ignored);
   }
   void step(const std::string& line) {
     std::istringstream in(line);
-    std::string verb, a, b, c;
+    std::string verb, first, second, third;
     in >> verb;
     if (verb == "list") return list(in);
     if (verb == "stop") return program().stop();
@@ -202,107 +209,108 @@
       return verb == "replay" ? replay(n) : recorded(n);
     }
     if (verb == "operators") return void(admin_ = true);
-    in >> a;
+    in >> first;
     if (verb == "figure") {
-      in >> b;
-      return until("the figure", [&] {
-        return http_call(operators_, "GET", "/_vars").find("\n" + a + " " + b + "\n") != std::string::npos;
+      in >> second;
+      return wait_until("metric " + first + " " + second, [&] {
+        return http_call(admin_port_, "GET", "/_vars").find("\n" + first + " " + second + "\n") !=
+               std::string::npos;
       });
     }
     if (verb == "callers") {
-      in >> b;
-      for (int i = 0; i < std::stoi(a); ++i)
-        clients_["caller" + std::to_string(i)] = make_raw_client(operators_, unescape(b));
+      in >> second;
+      for (int i = 0; i < std::stoi(first); ++i)
+        clients_["caller" + std::to_string(i)] = make_raw_client(admin_port_, unescape(second));
       return;
     }
     if (verb == "call") {
-      in >> b >> c;
-      const std::string got = http_call(operators_, a, b);
-      return got.rfind(c + " ", 0) == 0 ? void() : wrong("it was " + got);
+      in >> second >> third;
+      const std::string got = http_call(admin_port_, first, second);
+      return got.rfind(third + " ", 0) == 0 ? void() : fail("unexpected response: " + got);
     }
-    if (verb == "wall") return faults().wall_clock(std::stod(a));
+    if (verb == "wall") return faults().wall_clock(std::stod(first));
     if (verb == "faults") {
       std::string error, peer;
       int n = 0;
       in >> n >> error >> peer;
-      return faults().set(a, n, error, peer.empty() ? 0 : replica(peer).port());
+      return faults().set(first, n, error, peer.empty() ? 0 : replica(peer).port());
     }
     if (verb == "hit") {
       int n = 0;
       in >> n;
-      return until("the fault", [&] { return faults().hits(a) >= n; });
+      return wait_until("hits of fault " + first, [&] { return faults().hits(first) >= n; });
     }
-    if (verb == "start") return start(a.empty() ? "1024" : a);
+    if (verb == "start") return start(first.empty() ? "1024" : first);
     if (verb == "start_fails") {
       Program program(path_, discovery_.port(), protocol_, "1024", membership(), kserve());
-      return program.fails(unescape(a));
+      return program.expect_start_failure(unescape(first));
     }
-    if (verb == "cert") return cert(a, in);
-    if (verb == "handshakes") return measure_handshakes(port_, words(in), std::stoi(a));
-    if (verb == "shy") {  // so many clients that ask and read nothing
-      for (int i = 0; i < std::stoi(a); ++i) {
+    if (verb == "cert") return cert(first, in);
+    if (verb == "handshakes") return measure_handshakes(port_, read_options(in), std::stoi(first));
+    if (verb == "shy") {  // opens this many clients that send a request and read nothing
+      for (int i = 0; i < std::stoi(first); ++i) {
         const std::string id = "shy" + std::to_string(i);
         clients_[id] = make_client(protocol_, port_, id, {{"shy", ""}, {"session", std::to_string(i)}});
       }
       return;
     }
     if (verb == "forget_shy") {
-      std::erase_if(clients_, [](const auto& c) { return c.first.rfind("shy", 0) == 0; });
+      std::erase_if(clients_, [](const auto& entry) { return entry.first.rfind("shy", 0) == 0; });
       return;
     }
-    if (verb == "forget") return void(clients_.erase(a));
+    if (verb == "forget") return void(clients_.erase(first));
     if (verb == "rounds") {
       int n = 0;
       in >> n;
-      return rounds(a, n);
+      return drain_rounds(first, n);
     }
-    if (verb == "conformance") return conformance(a, in);
+    if (verb == "conformance") return conformance(first, in);
     if (verb == "describes") {
-      in >> b >> c;
-      std::string said;
+      in >> second >> third;
+      std::string metadata;
       try {
-        return until("it", [&] {
-          said = grpc_describe(port_, a, c);
-          return said == b || said.find(unescape(b)) != std::string::npos;
+        return wait_until("model metadata", [&] {
+          metadata = grpc_model_metadata(port_, first, third);
+          return metadata == second || metadata.find(unescape(second)) != std::string::npos;
         });
       } catch (const std::exception&) {
-        wrong("it is " + said);
+        fail("unexpected model metadata: " + metadata);
       }
     }
     if (verb == "logged")
-      return until("the line", [&] { return program().log().find(a) != std::string::npos; });
-    if (verb == "dns") return dns(a, in);
+      return wait_until("log line", [&] { return program().log().find(first) != std::string::npos; });
+    if (verb == "dns") return dns(first, in);
     if (verb == "sources") {
-      sources_ = {a};
-      for (std::string word; in >> word;) sources_.push_back(word);
+      sources_ = {first};
+      for (std::string argument; in >> argument;) sources_.push_back(argument);
       return;
     }
     if (verb == "rule" || verb == "resolver" || verb == "kserve" || verb == "operator") {
       std::string rest;
       std::getline(in, rest);
-      std::string& text = (verb == "operator" ? operator_
-                           : verb == "rule"   ? rule_
-                           : verb == "kserve" ? kserve_
-                                              : resolver_);
-      a == "anew" ? text = rest : text += " " + a + rest;  // anew: forgets what was set before
+      std::string& text = (verb == "operator" ? operator_settings_
+                           : verb == "rule"   ? rule_settings_
+                           : verb == "kserve" ? kserve_settings_
+                                              : resolver_settings_);
+      first == "anew" ? text = rest : text += " " + first + rest;  // anew: replaces what was set before
       return;
     }
     if (verb == "quiet" || verb == "busy") {
-      std::vector<std::string> names{a};
-      for (std::string word; in >> word;) names.push_back(word);
-      return spread(names, verb == "busy");
+      std::vector<std::string> names{first};
+      for (std::string argument; in >> argument;) names.push_back(argument);
+      return expect_calls(names, verb == "busy");
     }
-    if (verb == "pause") return std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(a)));
-    if (verb == "saw") return saw(a, in);
+    if (verb == "pause") return std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(first)));
+    if (verb == "saw") return expect_metadata(first, in);
     if (verb == "measure") {
       int requests = 0;
       in >> requests;
-      return measure_grpc(port_, replica(a).port(), requests);
+      return measure_grpc(port_, replica(first).port(), requests);
     }
     if (verb == "memory") {
       std::ifstream file("/proc/" + std::to_string(program().pid()) + "/status");
-      for (std::string l; std::getline(file, l);) {
-        if (l.rfind("VmRSS", 0) == 0) std::printf("%s: %s\n", a.c_str(), l.c_str());
+      for (std::string status_line; std::getline(file, status_line);) {
+        if (status_line.rfind("VmRSS", 0) == 0) std::printf("%s: %s\n", first.c_str(), status_line.c_str());
       }
       return;
     }
@@ -310,59 +318,62 @@
       int n = 0;
       in >> n;
       for (int i = 0; i < n; ++i) {
-        held_.push_back(make_stream(port_));
-        held_.back()->ask(a + std::to_string(i), "shared", 0);
-        if (i % 50 == 49) until("stream", [&] { return held_.back()->answers(a + std::to_string(i)) > 0; });
+        open_streams_.push_back(make_stream(port_));
+        open_streams_.back()->send_request(first + std::to_string(i), "shared", 0);
+        if (i % 50 == 49)
+          wait_until("stream",
+                     [&] { return open_streams_.back()->response_count(first + std::to_string(i)) > 0; });
       }
       return;
     }
-    if (verb == "storm") return storm(std::stoi(a));
+    if (verb == "storm") return cancel_streams(std::stoi(first));
     if (verb == "stream") {
-      streams_[a] = make_stream(port_);
+      streams_[first] = make_stream(port_);
       return;
     }
-    if (streams_.count(a) != 0) return stream(*streams_[a], verb, in);
+    if (streams_.count(first) != 0) return stream(*streams_[first], verb, in);
     if (verb == "health") {
       std::string service;
       in >> service;
-      return until("health " + a, [&] { return grpc_health(port_, service) == a; });
+      return wait_until("health " + first, [&] { return grpc_health(port_, service) == first; });
     }
-    if (verb == "resolved") return resolved(a, in);
-    if (verb == "reload" && a == "operator") {
-      in >> b;
-      program().kserve(kserve());
-      program().operator_file(membership());
-      return program().reload(b == "bad", b);
+    if (verb == "resolved") return resolved(first, in);
+    if (verb == "reload" && first == "operator") {
+      in >> second;
+      program().set_kserve_settings(kserve());
+      program().write_operator_file(membership());
+      return program().reload(second == "bad", second);
     }
-    if (verb == "send") return send(a, in);
-    in >> b >> c;
+    if (verb == "send") return send(first, in);
+    in >> second >> third;
     if (verb == "raw") {
-      clients_[a] = make_raw_client(front_, unescape(b));
+      clients_[first] = make_raw_client(http_port_, unescape(second));
       return;
     }
     if (verb == "reload") {
-      if (a != "bad") program().configure(discovery_.move());
-      program().reload(a == "bad");
+      if (first != "bad") program().write_config(discovery_.move());
+      program().reload(first == "bad");
     } else if (verb == "replica") {
-      replicas_[a] = make_replica(protocol_, b, c.empty() || b == "says" ? 1 : std::stoi(c), words(in));
-      if (b == "says") replica(a).behaviour.text = unescape(c);
+      replicas_[first] = make_replica(
+          protocol_, second, third.empty() || second == "says" ? 1 : std::stoi(third), read_options(in));
+      if (second == "says") replica(first).behaviour.text = unescape(third);
     } else if (verb == "discovery") {
-      a == "down" ? discovery_.down() : discovery_.silent();
+      first == "down" ? discovery_.down() : discovery_.silent();
     } else if (verb == "read") {
-      client(a).shy = false;
+      client(first).reading_paused = false;
     } else if (verb == "close") {
-      client(a).close();
+      client(first).close();
     } else if (verb == "release") {
-      replica(a).behaviour.released = true;
+      replica(first).behaviour.released = true;
     } else if (verb == "expect") {
-      expect(client(a), unescape(b), c);
+      expect(client(first), unescape(second), third);
     } else if (verb == "wait") {
-      wait(a, b, std::stol(c));
+      wait(first, second, std::stol(third));
     } else {
-      wrong("there is no such step");
+      fail("unknown step");
     }
   }
-  // What the program said, without the counters that steps asked for; the last of them is enough.
+  // The program's log, with only the last of its event=counters lines: steps request many of them.
   std::string log() {
     std::istringstream in(program_ ? program_->log() : "");
     std::string out, counters;
@@ -373,14 +384,14 @@
   }
 
  private:
-  Program& program() { return program_ ? *program_ : (wrong("not started"), *program_); }
+  Program& program() { return program_ ? *program_ : (fail("the program has not been started"), *program_); }
   Replica& replica(const std::string& name) {
     const auto it = replicas_.find(name);
-    return it != replicas_.end() ? *it->second : (wrong("no replica " + name), *it->second);
+    return it != replicas_.end() ? *it->second : (fail("unknown replica " + name), *it->second);
   }
   Client& client(const std::string& id) {
     const auto it = clients_.find(id);
-    return it != clients_.end() ? *it->second : (wrong("no request " + id), *it->second);
+    return it != clients_.end() ? *it->second : (fail("unknown request " + id), *it->second);
   }
   DnsServer& dns_server() {
     if (!dns_) dns_ = std::make_unique<DnsServer>();
@@ -392,17 +403,17 @@
     in >> what;
     if (what == "names") {
       zone.records.clear();
-      for (std::string word; in >> word;) {
-        DnsZone::Srv srv;
-        std::istringstream parts(word);
+      for (std::string argument; in >> argument;) {
+        DnsZone::Srv record;
+        std::istringstream fields(argument);
         std::string priority, weight;
-        std::getline(parts, srv.target, ':');
-        std::getline(parts, priority, ':');
-        std::getline(parts, weight, ':');
-        if (srv.target != ".") srv.port = replica(srv.target).port();
-        if (!priority.empty()) srv.priority = static_cast<std::uint16_t>(std::stoi(priority));
-        if (!weight.empty()) srv.weight = static_cast<std::uint16_t>(std::stoi(weight));
-        zone.records.push_back(srv);
+        std::getline(fields, record.target, ':');
+        std::getline(fields, priority, ':');
+        std::getline(fields, weight, ':');
+        if (record.target != ".") record.port = replica(record.target).port();
+        if (!priority.empty()) record.priority = static_cast<std::uint16_t>(std::stoi(priority));
+        if (!weight.empty()) record.weight = static_cast<std::uint16_t>(std::stoi(weight));
+        zone.records.push_back(record);
       }
     } else if (what == "many") {
       int n = 0;
@@ -422,159 +433,177 @@
       zone.fault.clear();
       in >> zone.fault >> zone.argument;
     } else {
-      wrong("there is no such word of dns");
+      fail("unknown argument of step 'dns': " + what);
     }
     if (!program_ && std::find(zones_.begin(), zones_.end(), name) == zones_.end()) zones_.push_back(name);
     dns_server().zone(name, zone);
   }
   std::string membership() {
     std::vector<std::string> sources = sources_;
-    if (sources.empty() && zones_.empty()) return operator_;
+    if (sources.empty() && zones_.empty()) return operator_settings_;
     if (sources.empty()) {
       sources = zones_;
       sources.insert(sources.begin(), "list");
     }
     std::string out = "membership {\n";
-    for (const std::string& s : sources) {
-      out += "sources { name: \"" + s + "\" ";
-      out += s == "list" ? "list {} }\n"
-                         : "dns_srv { name: \"_model._tcp." + s + ".test\" zero_weight: DRAINING } }\n";
+    for (const std::string& source : sources) {
+      out += "sources { name: \"" + source + "\" ";
+      out += source == "list"
+                 ? "list {} }\n"
+                 : "dns_srv { name: \"_model._tcp." + source + ".test\" zero_weight: DRAINING } }\n";
     }
     out += "resolver { servers: \"127.0.0.1:" + std::to_string(dns_server().port()) +
-           "\" timeout_s: 0.2 least_ttl_s: 0.1" + resolver_ + " }\n";
-    // Spans that a test can wait for, unless it sets its own.
-    out += "rule { return_s: 0.5 spill_hold_s: 0.5" + rule_;
-    return out + (rule_.find("guard_s") == std::string::npos ? " guard_s: 2" : "") + " }\n}\n" + operator_;
-  }
-  // Whether a replica gets new work, over both wires: requests of as many sessions as reach every replica.
-  void spread(const std::vector<std::string>& names, bool some) {
+           "\" timeout_s: 0.2 least_ttl_s: 0.1" + resolver_settings_ + " }\n";
+    // Durations short enough for a test to wait for, unless it sets its own.
+    out += "rule { return_s: 0.5 spill_hold_s: 0.5" + rule_settings_;
+    return out + (rule_settings_.find("guard_s") == std::string::npos ? " guard_s: 2" : "") + " }\n}\n" +
+           operator_settings_;
+  }
+  // Checks that each of these replicas gets new requests (or that none does): sends requests of enough
+  // different sessions to reach every replica.
+  void expect_calls(const std::vector<std::string>& names, bool expected) {
     std::vector<int> before;
     for (const std::string& name : names) before.push_back(replica(name).behaviour.calls);
     const auto calls = [&](std::size_t i) { return replica(names[i]).behaviour.calls - before[i]; };
-    // Which sessions go where hangs on the ports of the day: until each has had some, or long enough.
-    const int most = some ? 600 : 40;
-    for (int n = 0; n < most; ++n) {
-      const std::string id = "spread" + std::to_string(++spread_);
-      const auto client = make_client(protocol_, port_, id, {{"session", std::to_string(spread_ * 7919)}});
-      const std::string verdict = client->verdict();
-      if (verdict != "served") wrong("request " + std::to_string(n) + " was " + verdict);
-      bool all = some;
+    // The replica of a session depends on the replicas' ports, which differ in each run: sends until each
+    // replica has had a request, or up to the limit.
+    const int limit = expected ? 600 : 40;
+    for (int n = 0; n < limit; ++n) {
+      const std::string id = "spread" + std::to_string(++request_number_);
+      const auto client =
+          make_client(protocol_, port_, id, {{"session", std::to_string(request_number_ * 7919)}});
+      const std::string outcome = client->outcome();
+      if (outcome != "served") fail("unexpected outcome of request " + std::to_string(n) + ": " + outcome);
+      bool all = expected;
       for (std::size_t i = 0; i < names.size(); ++i) all = all && calls(i) > 0;
       if (all) return;
     }
     for (std::size_t i = 0; i < names.size(); ++i) {
-      if ((calls(i) > 0) != some) wrong(names[i] + " had " + std::to_string(calls(i)) + " calls");
+      if ((calls(i) > 0) != expected)
+        fail("replica " + names[i] + ": " + std::to_string(calls(i)) + " calls");
     }
   }
-  // A replica comes and drains, over and over, b beside it: what is asked once its drain is known goes to b.
-  void rounds(const std::string& name, int n) {
-    long news = program().counter("list_updates");
-    for (int i = 0; i < n; ++i) {
+  // Makes a replica ready and draining n times, with replica b ready throughout: requests sent once the drain
+  // is known must go to b.
+  void drain_rounds(const std::string& name, int rounds) {
+    long list_updates = program().counter("list_updates");
+    for (int i = 0; i < rounds; ++i) {
       for (const char* state : {"ready", "draining"}) {
         std::istringstream entries(name + "=" + state + " b=ready");
         list(entries);
-        until("the news", [&] { return program().counter("list_updates") > news; });
-        news = program().counter("list_updates");
+        wait_until("endpoint list update", [&] { return program().counter("list_updates") > list_updates; });
+        list_updates = program().counter("list_updates");
       }
       const int before = replica(name).behaviour.calls;
-      for (int k = 0; k < 4; ++k) {
-        const std::string id = "round" + std::to_string(i) + "-" + std::to_string(k);
-        const auto client = make_client(protocol_, port_, id, {{"session", std::to_string(i * 7919 + k)}});
-        if (const std::string verdict = client->verdict(); verdict != "served") wrong(id + " was " + verdict);
+      for (int request = 0; request < 4; ++request) {
+        const std::string id = "round" + std::to_string(i) + "-" + std::to_string(request);
+        const auto client =
+            make_client(protocol_, port_, id, {{"session", std::to_string(i * 7919 + request)}});
+        if (const std::string outcome = client->outcome(); outcome != "served")
+          fail(id + ": unexpected outcome: " + outcome);
       }
-      if (replica(name).behaviour.calls != before) wrong("round " + std::to_string(i) + ": a call to it");
+      if (replica(name).behaviour.calls != before)
+        fail("round " + std::to_string(i) + ": the draining replica was called");
     }
   }
-  // So many streams with a request each, dropped as soon as it has begun, some hundred at a time.
-  void storm(int streams) {
+  // Opens this many streams with one request each, 100 at a time, and cancels each batch once its last stream
+  // has had a response.
+  void cancel_streams(int streams) {
     for (int n = 0; n < streams;) {
       std::vector<std::unique_ptr<Stream>> batch;
       for (int i = 0; i < 100 && n < streams; ++i, ++n) {
         batch.push_back(make_stream(port_));
-        batch.back()->ask("storm" + std::to_string(n), "shared", 0);
+        batch.back()->send_request("storm" + std::to_string(n), "shared", 0);
       }
-      until("the storm", [&] { return batch.back()->answers("storm" + std::to_string(n - 1)) > 0; });
-      for (const auto& s : batch) s->drop();
+      wait_until("first response of the batch's last stream",
+                 [&] { return batch.back()->response_count("storm" + std::to_string(n - 1)) > 0; });
+      for (const auto& s : batch) s->cancel();
     }
   }
-  void stream(Stream& s, const std::string& verb, std::istringstream& in) {
-    std::string id, word;
-    in >> id >> word;
+  void stream(Stream& stream, const std::string& verb, std::istringstream& in) {
+    std::string id, argument;
+    in >> id >> argument;
     if (verb == "ask") {
       long timeout_us = 0;
       in >> timeout_us;
-      s.ask(id, word.empty() ? "shared" : word, timeout_us);
+      stream.send_request(id, argument.empty() ? "shared" : argument, timeout_us);
     } else if (verb == "pending") {
-      if (!s.error(id).empty() || s.answers(id) > 0) wrong("it is not");
+      if (!stream.error(id).empty() || stream.response_count(id) > 0)
+        fail("request " + id + " is not pending: it has a response or an error");
     } else if (verb == "answers") {
-      until("answers to " + id, [&] { return s.answers(id) >= std::stoi(word); });
-      if (!s.error(id).empty()) wrong("it failed: " + s.error(id));
+      wait_until("responses to " + id, [&] { return stream.response_count(id) >= std::stoi(argument); });
+      if (!stream.error(id).empty()) fail("request " + id + " failed: " + stream.error(id));
     } else if (verb == "error") {
-      until("an error of " + id, [&] { return !s.error(id).empty(); });
-      if (s.error(id).find(unescape(word)) == std::string::npos) wrong("it was " + s.error(id));
+      wait_until("error of " + id, [&] { return !stream.error(id).empty(); });
+      if (stream.error(id).find(unescape(argument)) == std::string::npos)
+        fail("unexpected error: " + stream.error(id));
     } else if (verb == "half_close") {
-      s.half_close();
+      stream.half_close();
     } else if (verb == "drop") {
-      s.drop();
+      stream.cancel();
     } else if (verb == "ended") {
-      const std::string got = s.ended();
-      if (got != unescape(id)) wrong("it ended with " + got);
+      const std::string got = stream.final_status();
+      if (got != unescape(id)) fail("unexpected final status: " + got);
     } else {
-      wrong("there is no such step of a stream");
+      fail("unknown step of a stream");
     }
   }
-  void saw(const std::string& name, std::istringstream& in) {
+  void expect_metadata(const std::string& name, std::istringstream& in) {
     std::string key, value;
     in >> key >> value;
-    Behaviour& b = replica(name).behaviour;
-    const std::lock_guard lock(b.mutex);
-    const std::string got = b.metadata.count(key) != 0 ? b.metadata[key] : "nothing";
-    if (got != value) wrong("it saw " + got);
-  }
-  // 'flintglade conformance' of the router, or straight at a replica: just these checks fail, or are skipped.
-  void conformance(const std::string& of, std::istringstream& in) {
+    Behaviour& behaviour = replica(name).behaviour;
+    const std::lock_guard lock(behaviour.mutex);
+    const std::string got = behaviour.metadata.count(key) != 0 ? behaviour.metadata[key] : "nothing";
+    if (got != value) fail("unexpected metadata value: " + got);
+  }
+  // Runs 'flintglade conformance' against the router or directly against a replica: exactly these checks must
+  // fail or be skipped.
+  void conformance(const std::string& target, std::istringstream& in) {
     std::set<std::string> expected, got;
-    std::string more;
+    std::string arguments;
     for (std::string word; in >> word;)
-      word[0] == '-' ? void(more += " " + word) : void(expected.insert(word));
-    for (char& c : more) c = c == '=' ? ' ' : c;
-    const unsigned short port = of == "router" ? port_ : replica(of).port();
+      word[0] == '-' ? void(arguments += " " + word) : void(expected.insert(word));
+    for (char& c : arguments) c = c == '=' ? ' ' : c;
+    const unsigned short port = target == "router" ? port_ : replica(target).port();
     const std::string out =
         program().run("conformance 127.0.0.1:" + std::to_string(port) + " --model shared --timeout 2" +
-                      with_certs(more) + " --junit /dev/null #");
+                      with_certificates_folder(arguments) + " --junit /dev/null #");
     std::istringstream lines(out);
-    bool whole = false;
+    bool has_summary = false;
     for (std::string line; std::getline(lines, line);) {
-      std::istringstream words(line);
-      std::string verdict, name;
-      words >> verdict >> name;
-      if (verdict == "FAIL" || verdict == "skip") got.insert(name);
-      whole = whole || line.find(" passed, ") != std::string::npos;
+      std::istringstream fields(line);
+      std::string result, name;
+      fields >> result >> name;
+      if (result == "FAIL" || result == "skip") got.insert(name);
+      has_summary = has_summary || line.find(" passed, ") != std::string::npos;
     }
-    if (!whole || got != expected) wrong("it said\n" + out);
+    if (!has_summary || got != expected) fail("unexpected conformance report:\n" + out);
   }
   void resolved(const std::string& first, std::istringstream& in) {
-    std::vector<std::string> words{first};
-    for (std::string word; in >> word;) words.push_back(word);
+    std::vector<std::string> expected_texts{first};
+    for (std::string word; in >> word;) expected_texts.push_back(word);
     const std::string out = program().run("resolve --wait 3");
     std::istringstream lines(out);
     for (std::string line; std::getline(lines, line);) {
-      if (std::all_of(words.begin(), words.end(),
-                      [&](const std::string& w) { return line.find(unescape(w)) != std::string::npos; }))
+      if (std::all_of(expected_texts.begin(), expected_texts.end(), [&](const std::string& text) {
+            return line.find(unescape(text)) != std::string::npos;
+          }))
         return;
     }
-    wrong("no such line in\n" + out);
+    fail("no line with all expected texts in the output:\n" + out);
   }
   void list(std::istringstream& in) {
     std::string entries;
-    for (std::string word; in >> word;) {
-      const std::string who = word.substr(0, word.find('=')), state = word.substr(word.find('=') + 1);
-      const std::string name = who.substr(who.find('@') + 1);  // heir@a: another replica, at a's address
-      const char* as = state == "ready" ? "Ready" : state == "draining" ? "Terminating" : "Gone";
+    for (std::string argument; in >> argument;) {
+      const std::string replica_at = argument.substr(0, argument.find('=')),
+                        state = argument.substr(argument.find('=') + 1);
+      const std::string name =
+          replica_at.substr(replica_at.find('@') + 1);  // heir@a: another replica at a's address
+      const char* state_name = state == "ready" ? "Ready" : state == "draining" ? "Terminating" : "Gone";
       if (!entries.empty()) entries += ",";
-      entries += "{\"uid\":\"s-" + who.substr(0, who.find('@')) +
+      entries += "{\"uid\":\"s-" + replica_at.substr(0, replica_at.find('@')) +
                  "\",\"endpoint\":\"127.0.0.1:" + std::to_string(replica(name).port()) +
-                 "\",\"az\":\"hall\",\"model\":\"gpu\",\"pod_group\":0,\"state\":\"" + as +
+                 "\",\"az\":\"hall\",\"model\":\"gpu\",\"pod_group\":0,\"state\":\"" + state_name +
                  "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
     discovery_.change(entries);
@@ -584,13 +613,13 @@
         path_, discovery_.port(), protocol_, sockets, membership(), kserve(), admin_, 0,
         faults_ ? faults_->environment() : std::map<std::string, std::string>{});
     const bool kserve = protocol_ == Protocol::kserve;
-    until("the port", [&] {
-      front_ = program().port("wire=http at=127.0.0.1:");
-      port_ = kserve ? program().port("wire=kserve at=127.0.0.1:") : front_;
-      if (admin_) operators_ = program().port("wire=admin at=127.0.0.1:");
-      return port_ != 0 && (!admin_ || operators_ != 0);
+    wait_until("listening ports", [&] {
+      http_port_ = program().port("wire=http at=127.0.0.1:");
+      port_ = kserve ? program().port("wire=kserve at=127.0.0.1:") : http_port_;
+      if (admin_) admin_port_ = program().port("wire=admin at=127.0.0.1:");
+      return port_ != 0 && (!admin_ || admin_port_ != 0);
     });
-    until("readiness", [&] { return http_status(front_, "/ready") == 200; });
+    wait_until("status 200 of /ready", [&] { return http_status(http_port_, "/ready") == 200; });
   }
   Faults& faults() {
     if (!faults_) faults_ = std::make_unique<Faults>();
@@ -604,60 +633,67 @@
   void recorded(int requests) {
     pcap::ReadResult got;
     const std::string error = pcap::read_requests(program().record(), {{"chat"}, {"acme"}, {1}}, got);
-    if (!error.empty()) wrong(error);
+    if (!error.empty()) fail(error);
     std::ifstream file(program().record(), std::ios::binary);
     const std::string bytes(std::istreambuf_iterator<char>(file), {});
-    int whole = 0;
-    for (std::size_t at = 0; (at = bytes.find("HTTP/1.1 200 OK", at)) != std::string::npos; ++at) ++whole;
-    if (static_cast<int>(got.requests.size()) != requests || whole != requests)
-      wrong(std::to_string(got.requests.size()) + " requests, " + std::to_string(whole) + " answers");
-  }
-  Words words(std::istringstream& in) {
-    Words out{{"folder", certs_}};
-    for (std::string word; in >> word;) {
-      const std::size_t equals = word.find('=');
-      out[word.substr(0, equals)] = equals == std::string::npos ? "" : word.substr(equals + 1);
+    int responses = 0;
+    for (std::size_t at = 0; (at = bytes.find("HTTP/1.1 200 OK", at)) != std::string::npos; ++at) ++responses;
+    if (static_cast<int>(got.requests.size()) != requests || responses != requests)
+      fail(std::to_string(got.requests.size()) + " requests recorded, " + std::to_string(responses) +
+           " responses");
+  }
+  Options read_options(std::istringstream& in) {
+    Options out{{"folder", certificates_folder_}};
+    for (std::string argument; in >> argument;) {
+      const std::size_t equals = argument.find('=');
+      out[argument.substr(0, equals)] = equals == std::string::npos ? "" : argument.substr(equals + 1);
     }
     return out;
   }
-  // A certificate by the words ca, san, from and to (seconds from now); key=NAME: with another's key.
+  // Makes a certificate. Options: ca, san, from and to (seconds from now); key=NAME: replaces its key with
+  // another certificate's; mode: permissions of the key file, in octal.
   void cert(const std::string& name, std::istringstream& in) {
-    if (certs_.empty()) {
+    if (certificates_folder_.empty()) {
       char folder[] = "/tmp/flintglade-certs-XXXXXX";
-      if (mkdtemp(folder) == nullptr) wrong("no folder for certificates");
-      certs_ = folder;
-    }
-    Words w = words(in);
-    make_certificate(certs_, name, w["ca"], w["san"], w.count("from") != 0 ? std::stol(w["from"]) : -3600,
-                     w.count("to") != 0 ? std::stol(w["to"]) : 86400);
-    if (w.count("key") != 0)
-      std::filesystem::copy_file(certs_ + "/" + w["key"] + ".key", certs_ + "/" + name + ".key",
+      if (mkdtemp(folder) == nullptr) fail("cannot create a folder for certificates in /tmp");
+      certificates_folder_ = folder;
+    }
+    Options options = read_options(in);
+    make_certificate(certificates_folder_, name, options["ca"], options["san"],
+                     options.count("from") != 0 ? std::stol(options["from"]) : -3600,
+                     options.count("to") != 0 ? std::stol(options["to"]) : 86400);
+    if (options.count("key") != 0)
+      std::filesystem::copy_file(certificates_folder_ + "/" + options["key"] + ".key",
+                                 certificates_folder_ + "/" + name + ".key",
                                  std::filesystem::copy_options::overwrite_existing);
-    if (w.count("mode") != 0)
-      std::filesystem::permissions(certs_ + "/" + name + ".key",
-                                   static_cast<std::filesystem::perms>(std::stoi(w["mode"], nullptr, 8)));
-  }
-  std::string kserve() const { return with_certs(kserve_); }
-  std::string with_certs(const std::string& text) const {  // '@' stands for the folder of certificates
+    if (options.count("mode") != 0)
+      std::filesystem::permissions(
+          certificates_folder_ + "/" + name + ".key",
+          static_cast<std::filesystem::perms>(std::stoi(options["mode"], nullptr, 8)));
+  }
+  std::string kserve() const { return with_certificates_folder(kserve_settings_); }
+  std::string with_certificates_folder(
+      const std::string& text) const {  // replaces '@' with the folder of certificates
     std::string out;
-    for (const char c : text) out += c == '@' ? certs_ + "/" : std::string(1, c);
+    for (const char c : text) out += c == '@' ? certificates_folder_ + "/" : std::string(1, c);
     return out;
   }
   void send(const std::string& id, std::istringstream& in) {
-    clients_[id] = make_client(protocol_, port_, id, words(in));
-  }
-  void expect(Client& client, std::string verdict, const std::string& events) {
-    const std::string got = client.verdict();
-    // At the deadline the module refuses what may be repeated; HTTP says so, gRPC has a status of its own.
-    if (verdict == "late" && protocol_ == Protocol::http) verdict = "unavailable";
-    if (got != verdict) wrong("it was " + got);
+    clients_[id] = make_client(protocol_, port_, id, read_options(in));
+  }
+  void expect(Client& client, std::string expected, const std::string& events) {
+    const std::string got = client.outcome();
+    // At the deadline the module rejects an idempotent request: over HTTP the client gets 503, over gRPC
+    // DEADLINE_EXCEEDED.
+    if (expected == "late" && protocol_ == Protocol::http) expected = "unavailable";
+    if (got != expected) fail("unexpected outcome: " + got);
     if (!events.empty() && client.events != std::stoi(events))
-      wrong(std::to_string(client.events) + " events");
+      fail("unexpected number of events: " + std::to_string(client.events));
   }
   void wait(const std::string& what, const std::string& name, long value) {
-    until(what + " " + name, [&] {
+    wait_until(what + " " + name, [&] {
       if (what == "events") return client(name).events >= value;
-      if (what == "described") return replica(name).behaviour.described >= value;
+      if (what == "described") return replica(name).behaviour.metadata_calls >= value;
       if (what == "calls") return replica(name).behaviour.calls >= value;
       if (what == "least") return program().counter(name) >= value;
       return program().counter(name) == value;
@@ -668,16 +704,16 @@
   std::string path_;
   Discovery discovery_;
   std::unique_ptr<DnsServer> dns_;
-  std::unique_ptr<Faults> faults_;  // outlives the program that has it mapped
+  std::unique_ptr<Faults> faults_;  // declared before program_: must outlive the process that maps it
   std::vector<std::string> zones_, sources_;
-  std::string rule_, resolver_, kserve_, operator_, certs_;
-  int spread_ = 0;
+  std::string rule_settings_, resolver_settings_, kserve_settings_, operator_settings_, certificates_folder_;
+  int request_number_ = 0;
   std::map<std::string, std::unique_ptr<Replica>> replicas_;
   std::unique_ptr<Program> program_;
   std::map<std::string, std::unique_ptr<Client>> clients_;
   std::map<std::string, std::unique_ptr<Stream>> streams_;
-  std::vector<std::unique_ptr<Stream>> held_;
-  unsigned short port_ = 0, front_ = 0, operators_ = 0;
+  std::vector<std::unique_ptr<Stream>> open_streams_;
+  unsigned short port_ = 0, http_port_ = 0, admin_port_ = 0;
   bool admin_ = false;
 };
 
--- a/tests/scenario.h
+++ b/tests/scenario.h
@@ -1,5 +1,5 @@
-// Runs one end-to-end scenario: starts the program, stands in for discovery, model replicas, DNS and clients
-// on loopback, and carries out the steps of the text, one a line. docs/scenarios.md has the language.
+// Runs one end-to-end scenario: starts the program, plays discovery, model replicas, DNS and clients on
+// loopback, and executes the steps of the text, one per line. docs/scenarios.md describes the language.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 enum class Protocol { http, kserve };
 
-// Runs the scenario against this program (a path). Returns an empty string, or the step that failed and why.
+// Runs the scenario against the executable at the path 'program'. Returns an empty string, or the step that
+// failed, the reason and the program's log.
 std::string run_scenario(const std::string& text, Protocol protocol, const std::string& program);
 
 }  // namespace flintglade::tests
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -37,40 +37,42 @@
   std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
   return size.data() + bytes + "\r\n";
 }
-std::string get(const Words& words, const std::string& key, const std::string& otherwise) {
-  const auto it = words.find(key);
-  return it == words.end() ? otherwise : it->second;
+std::string option(const Options& options, const std::string& key, const std::string& fallback) {
+  const auto it = options.find(key);
+  return it == options.end() ? fallback : it->second;
 }
 
-// cert=NAME and trust=NAME: of the folder's certificates, what this side shows and whose word it takes.
-std::string pem(const Words& words, const std::string& word, const char* suffix) {
-  const std::string name = get(words, word, "");
-  return name.empty() ? "" : read_file(get(words, "folder", "") + "/" + name + suffix);
+// Options cert=NAME and trust=NAME: the certificate in the folder that this side presents, and the authority
+// it trusts.
+std::string read_pem(const Options& options, const std::string& key, const char* suffix) {
+  const std::string name = option(options, key, "");
+  return name.empty() ? "" : read_file(option(options, "folder", "") + "/" + name + suffix);
 }
-std::shared_ptr<grpc::ServerCredentials> server_side(const Words& words) {
-  if (words.count("cert") == 0) return grpc::InsecureServerCredentials();
-  grpc::SslServerCredentialsOptions options(words.count("trust") == 0
-                                                ? GRPC_SSL_DONT_REQUEST_CLIENT_CERTIFICATE
-                                                : GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY);
-  options.pem_root_certs = pem(words, "trust", ".pem");
-  options.pem_key_cert_pairs.push_back({pem(words, "cert", ".key"), pem(words, "cert", ".pem")});
-  return grpc::SslServerCredentials(options);
+std::shared_ptr<grpc::ServerCredentials> server_credentials(const Options& options) {
+  if (options.count("cert") == 0) return grpc::InsecureServerCredentials();
+  grpc::SslServerCredentialsOptions ssl(options.count("trust") == 0
+                                            ? GRPC_SSL_DONT_REQUEST_CLIENT_CERTIFICATE
+                                            : GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY);
+  ssl.pem_root_certs = read_pem(options, "trust", ".pem");
+  ssl.pem_key_cert_pairs.push_back({read_pem(options, "cert", ".key"), read_pem(options, "cert", ".pem")});
+  return grpc::SslServerCredentials(ssl);
 }
-std::shared_ptr<grpc::Channel> channel_to(unsigned short port, const Words& words) {
-  const std::string at = "ipv4:127.0.0.1:" + std::to_string(port);
+std::shared_ptr<grpc::Channel> channel_to(unsigned short port, const Options& options) {
+  const std::string address = "ipv4:127.0.0.1:" + std::to_string(port);
   grpc::ChannelArguments args;
-  if (words.count("own") != 0) args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection of its own
-  if (words.count("ping") != 0) {
-    args.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, std::stoi(get(words, "ping", "")));
+  if (options.count("own") != 0)
+    args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // no connection shared with other channels
+  if (options.count("ping") != 0) {
+    args.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, std::stoi(option(options, "ping", "")));
     args.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
   }
-  if (words.count("trust") == 0)
-    return grpc::CreateCustomChannel(at, grpc::InsecureChannelCredentials(), args);
-  args.SetSslTargetNameOverride(get(words, "name", "127.0.0.1"));
+  if (options.count("trust") == 0)
+    return grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), args);
+  args.SetSslTargetNameOverride(option(options, "name", "127.0.0.1"));
   return grpc::CreateCustomChannel(
-      at,
-      grpc::SslCredentials(
-          {pem(words, "trust", ".pem"), pem(words, "cert", ".key"), pem(words, "cert", ".pem")}),
+      address,
+      grpc::SslCredentials({read_pem(options, "trust", ".pem"), read_pem(options, "cert", ".key"),
+                            read_pem(options, "cert", ".pem")}),
       args);
 }
 
@@ -99,14 +101,15 @@
         if (!send_all(socket, std::exchange(behaviour.text, {}))) return;
         continue;
       }
-      bool began = false;
-      // Each event comes in two chunks, cut in its middle: the router has to put it together.
+      bool headers_sent = false;
+      // Each event is split over two chunks, so that the router has to reassemble it.
       const auto end = behaviour.play([&](int n) {
         const std::string event = "data: {\"n\":" + std::to_string(n) + behaviour.padding() + "}\n\n";
-        std::string out = began ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        began = true;
+        std::string out = headers_sent ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        headers_sent = true;
         out += chunk(event.substr(0, 7)) + chunk(event.substr(7));
-        // Cut anywhere, also in a chunk's size: whoever takes over in the middle has to go on from there.
+        // 'trickle' cuts the bytes anywhere, also within a chunk's size: a router that takes the stream over
+        // in between has to continue from that position.
         const std::size_t piece = behaviour.kind == "trickle" ? 5 + n % 7 : out.size();
         for (std::size_t at = 0; at < out.size(); at += piece) {
           if (!send_all(socket, out.substr(at, piece))) return false;
@@ -115,13 +118,13 @@
         return true;
       });
       switch (end) {
-        case Behaviour::End::whole:
+        case Behaviour::End::complete:
           if (!send_all(socket, "0\r\n\r\n")) return;
           break;
         case Behaviour::End::failed:
           if (!send_all(socket, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")) return;
           break;
-        case Behaviour::End::on_request_shed:
+        case Behaviour::End::shed:
           if (!send_all(socket, "HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")) return;
           break;
         case Behaviour::End::rejected:
@@ -137,10 +140,10 @@
 
 class GrpcReplica final : public Replica, private inference::GRPCInferenceService::Service {
  public:
-  explicit GrpcReplica(const Words& words) {
+  explicit GrpcReplica(const Options& options) {
     grpc::EnableDefaultHealthCheckService(true);
     grpc::ServerBuilder builder;
-    builder.AddListeningPort("127.0.0.1:0", server_side(words), &port_);
+    builder.AddListeningPort("127.0.0.1:0", server_credentials(options), &port_);
     builder.RegisterService(this);
     server_ = builder.BuildAndStart();
   }
@@ -151,8 +154,9 @@
   unsigned short port() const override { return static_cast<unsigned short>(port_); }
 
  private:
-  // 'version' and 'unknown': of the message, what the scenario may want to see of it.
-  void note(const grpc::ServerContext* context, const inference::ModelInferRequest& request) {
+  // Keeps the call's metadata for the step 'saw', with two pseudo-keys: 'version', the requested model
+  // version, and 'unknown', the message's number of unknown fields.
+  void record_request(const grpc::ServerContext* context, const inference::ModelInferRequest& request) {
     const std::lock_guard lock(behaviour.mutex);
     behaviour.metadata.clear();
     behaviour.metadata["version"] = request.model_version();
@@ -161,13 +165,13 @@
     for (const auto& [key, value] : context->client_metadata())
       behaviour.metadata[{key.data(), key.size()}] = {value.data(), value.size()};
   }
-  grpc::Status ending(Behaviour::End end, grpc::ServerContext* context) {
+  grpc::Status status_of(Behaviour::End end, grpc::ServerContext* context) {
     switch (end) {
-      case Behaviour::End::whole:
+      case Behaviour::End::complete:
         return grpc::Status::OK;
       case Behaviour::End::failed:
         return {grpc::StatusCode::INTERNAL, "no"};
-      case Behaviour::End::on_request_shed:
+      case Behaviour::End::shed:
         context->AddTrailingMetadata(kserve::kNeverRan, "1");
         return {grpc::StatusCode::UNAVAILABLE, "full"};
       case Behaviour::End::rejected:
@@ -179,34 +183,34 @@
   }
   grpc::Status ModelInfer(grpc::ServerContext* context, const inference::ModelInferRequest* request,
                           inference::ModelInferResponse* response) override {
-    note(context, *request);
-    return ending(behaviour.play([&](int) {
+    record_request(context, *request);
+    return status_of(behaviour.play([&](int) {
       response->set_id(request->id());
       response->set_model_name(request->model_name());
       response->set_model_version(request->model_version());
       return !context->IsCancelled();
     }),
-                  context);
+                     context);
   }
   grpc::Status ModelStreamInfer(grpc::ServerContext* context,
                                 grpc::ServerReaderWriter<inference::ModelStreamInferResponse,
                                                          inference::ModelInferRequest>* stream) override {
     inference::ModelInferRequest request;
     stream->Read(&request);
-    note(context, request);
-    return ending(behaviour.play([&](int n) {
+    record_request(context, request);
+    return status_of(behaviour.play([&](int n) {
       inference::ModelStreamInferResponse event;
       event.mutable_infer_response()->set_id(request.id());
       event.mutable_infer_response()->set_model_version(std::to_string(n) + behaviour.padding());
       return stream->Write(event) && !context->IsCancelled();
     }),
-                  context);
+                     context);
   }
-  // A model of one version that takes and gives two INT32.
-  static bool knows(const std::string& name, const std::string& version) {
+  // The only model: 'shared', version 1, with one input and one output of two INT32.
+  static bool serves_model(const std::string& name, const std::string& version) {
     return name == "shared" && (version.empty() || version == "1");
   }
-  static grpc::Status unknown() { return {grpc::StatusCode::NOT_FOUND, "unknown model"}; }
+  static grpc::Status unknown_model() { return {grpc::StatusCode::NOT_FOUND, "unknown model"}; }
   grpc::Status ServerLive(grpc::ServerContext*, const inference::ServerLiveRequest*,
                           inference::ServerLiveResponse* response) override {
     response->set_live(true);
@@ -225,15 +229,15 @@
   }
   grpc::Status ModelReady(grpc::ServerContext*, const inference::ModelReadyRequest* request,
                           inference::ModelReadyResponse* response) override {
-    response->set_ready(knows(request->name(), request->version()));
-    return response->ready() ? grpc::Status::OK : unknown();
+    response->set_ready(serves_model(request->name(), request->version()));
+    return response->ready() ? grpc::Status::OK : unknown_model();
   }
   grpc::Status ModelMetadata(grpc::ServerContext*, const inference::ModelMetadataRequest* request,
                              inference::ModelMetadataResponse* response) override {
-    ++behaviour.described;
+    ++behaviour.metadata_calls;
     if (behaviour.kind == "hang") std::this_thread::sleep_for(1500ms);
     if (behaviour.kind == "error") return {grpc::StatusCode::INTERNAL, "no"};
-    if (!knows(request->name(), request->version())) return unknown();
+    if (!serves_model(request->name(), request->version())) return unknown_model();
     response->set_name(request->name());
     response->add_versions("1");
     response->set_platform("stand_in");
@@ -248,9 +252,9 @@
   std::unique_ptr<grpc::Server> server_;
 };
 
-class DeadReplica final : public Replica {  // an address at which nobody listens
+class RefusingReplica final : public Replica {  // its port has no listener: connections are refused
  public:
-  DeadReplica() : port_(Listener([](tcp::socket&) {}).port()) {}
+  RefusingReplica() : port_(Listener([](tcp::socket&) {}).port()) {}
   unsigned short port() const override { return port_; }
 
  private:
@@ -262,21 +266,23 @@
 
 class HttpClient final : public Client {
  public:
-  HttpClient(unsigned short port, const std::string& id, Words words) : socket_(io_) {
-    shy = words.count("shy") != 0;
+  HttpClient(unsigned short port, const std::string& id, Options options) : socket_(io_) {
+    reading_paused = options.count("shy") != 0;
     socket_.connect(loopback(port));
-    const std::string body(std::stoul(get(words, "body", "2")), 'x');
-    std::string head = "POST " + get(words, "path", "/v1/chat/completions") + " HTTP/1.1\r\nHost: b\r\n";
-    if (get(words, "trace", "") != "none") head += "X-Trace-Id: " + get(words, "trace", id) + "\r\n";
-    head += "X-Qos: " + get(words, "class", "chat") + "\r\nX-Customer: " + get(words, "tenant", "acme") +
-            "\r\nX-Object: " + get(words, "session", "7f") +
-            "\r\nX-Expires-In-Ms: " + get(words, "expires", "8000") +
-            "\r\nX-Props: " + (words.count("session") == 0 ? "prefix=5c," : "") +
+    const std::string body(std::stoul(option(options, "body", "2")), 'x');
+    std::string head = "POST " + option(options, "path", "/v1/chat/completions") + " HTTP/1.1\r\nHost: b\r\n";
+    if (option(options, "trace", "") != "none")
+      head += "X-Trace-Id: " + option(options, "trace", id) + "\r\n";
+    head += "X-Qos: " + option(options, "class", "chat") +
+            "\r\nX-Customer: " + option(options, "tenant", "acme") +
+            "\r\nX-Object: " + option(options, "session", "7f") +
+            "\r\nX-Expires-In-Ms: " + option(options, "expires", "8000") +
+            "\r\nX-Props: " + (options.count("session") == 0 ? "prefix=5c," : "") +
             "prompt_len=100,prefix_len=80,max_out=50\r\nContent-Length: " + std::to_string(body.size()) +
             "\r\n\r\n";
     thread_ = std::thread([this, request = head + body] { run(request); });
   }
-  HttpClient(unsigned short port, const std::string& bytes) : socket_(io_), patience_(2000) {
+  HttpClient(unsigned short port, const std::string& bytes) : socket_(io_), max_polls_(2000) {
     socket_.connect(loopback(port));
     thread_ = std::thread([this, bytes] { run(bytes); });
   }
@@ -285,14 +291,15 @@
     thread_.join();
   }
   void close() override {
-    // Before its thread may read: a client that leaves without reading takes none of its answer.
+    // Shut down before the thread is allowed to read: a client that closes without reading must not receive
+    // any of its response.
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_both, ignored);
-    shy = false;
+    reading_paused = false;
   }
-  std::string verdict() override {
-    for (int i = 0; i < patience_ && !done_; ++i) std::this_thread::sleep_for(2ms);
-    return done_ ? verdict_ : "still open";
+  std::string outcome() override {
+    for (int i = 0; i < max_polls_ && !done_; ++i) std::this_thread::sleep_for(2ms);
+    return done_ ? outcome_ : "still open";
   }
 
  private:
@@ -304,7 +311,7 @@
     parser.eager(true);
     parser.body_limit(1u << 30);
     std::string body;
-    while (shy) std::this_thread::sleep_for(2ms);
+    while (reading_paused) std::this_thread::sleep_for(2ms);
     while (!parser.is_done() && !ec) {
       buffer.commit(socket_.read_some(buffer.prepare(4096), ec));
       for (error_code more; buffer.size() > 0 && !parser.is_done() && !more;) {
@@ -313,10 +320,10 @@
       body += std::exchange(parser.get().body(), {});
       for (std::size_t end; (end = body.find("\n\n")) != std::string::npos; ++events) body.erase(0, end + 2);
     }
-    verdict_ = judge(parser);
+    outcome_ = outcome_of(parser);
     done_ = true;
   }
-  std::string judge(http::response_parser<http::string_body>& parser) {
+  std::string outcome_of(http::response_parser<http::string_body>& parser) {
     if (!parser.is_header_done()) return "nothing";
     const auto& head = parser.get();
     switch (head.result_int()) {
@@ -344,33 +351,33 @@
   }
   asio::io_context io_;
   tcp::socket socket_;
-  const int patience_ = 15000;  // of 2 ms
-  std::string verdict_;
+  const int max_polls_ = 15000;  // every 2 ms
+  std::string outcome_;
   std::atomic<bool> done_ = false;
   std::thread thread_;
 };
 
 class GrpcClient final : public Client {
  public:
-  GrpcClient(unsigned short port, const std::string& id, const Words& words) {
-    shy = words.count("shy") != 0;
-    channel_ = channel_to(port, words);
+  GrpcClient(unsigned short port, const std::string& id, const Options& options) {
+    reading_paused = options.count("shy") != 0;
+    channel_ = channel_to(port, options);
     stub_ = inference::GRPCInferenceService::NewStub(channel_);
-    // 'plain': a client that knows nothing of this router.
-    if (words.count("plain") == 0) label(words);
+    // 'plain': a standard KServe client that sends none of this router's metadata.
+    if (options.count("plain") == 0) add_metadata(options);
     inference::ModelInferRequest request;
-    request.set_id(get(words, "trace", id));
-    request.set_model_name(get(words, "model", "shared"));
-    request.add_raw_input_contents(std::string(std::stoul(get(words, "body", "2")), 'x'));
-    if (words.count("plain") != 0) request.clear_raw_input_contents();
-    for (const auto& [word, value] : words) {
-      if (word.rfind("md.", 0) == 0) context_.AddMetadata(word.substr(3), value);
-      if (word.rfind("param.", 0) == 0) {
-        auto& p = (*request.mutable_parameters())[word.substr(6)];
-        const bool number = value.find_first_not_of("0123456789") == std::string::npos;
-        number ? p.set_int64_param(std::stoll(value)) : p.set_string_param(value);
+    request.set_id(option(options, "trace", id));
+    request.set_model_name(option(options, "model", "shared"));
+    request.add_raw_input_contents(std::string(std::stoul(option(options, "body", "2")), 'x'));
+    if (options.count("plain") != 0) request.clear_raw_input_contents();
+    for (const auto& [name, value] : options) {
+      if (name.rfind("md.", 0) == 0) context_.AddMetadata(name.substr(3), value);
+      if (name.rfind("param.", 0) == 0) {
+        auto& parameter = (*request.mutable_parameters())[name.substr(6)];
+        const bool is_number = value.find_first_not_of("0123456789") == std::string::npos;
+        is_number ? parameter.set_int64_param(std::stoll(value)) : parameter.set_string_param(value);
       }
-      if (word == "input") {  // INT32 of shape [2], in so many raw bytes
+      if (name == "input") {  // INT32 of shape [2]; the value is the number of raw bytes sent
         auto* input = request.add_inputs();
         input->set_name("x");
         input->set_datatype("INT32");
@@ -378,13 +385,13 @@
         request.add_raw_input_contents(std::string(std::stoul(value), 'x'));
       }
     }
-    if (words.count("gzip") != 0) context_.set_compression_algorithm(GRPC_COMPRESS_GZIP);
-    request.set_model_version(get(words, "version", ""));
-    if (words.count("twice") != 0) {
-      thread_ = std::thread([this, request] { twice(request); });
+    if (options.count("gzip") != 0) context_.set_compression_algorithm(GRPC_COMPRESS_GZIP);
+    request.set_model_version(option(options, "version", ""));
+    if (options.count("twice") != 0) {
+      thread_ = std::thread([this, request] { send_two_messages(request); });
       return;
     }
-    const bool unary = words.count("unary") != 0;
+    const bool unary = options.count("unary") != 0;
     thread_ = std::thread([this, request, unary] { unary ? infer(request) : stream(request); });
   }
   ~GrpcClient() override {
@@ -393,22 +400,22 @@
   }
   void close() override {
     context_.TryCancel();
-    shy = false;
+    reading_paused = false;
   }
-  std::string verdict() override {
+  std::string outcome() override {
     for (int i = 0; i < 15000 && !done_; ++i) std::this_thread::sleep_for(2ms);
-    return done_ ? verdict_ : "still open";
+    return done_ ? outcome_ : "still open";
   }
 
  private:
-  void label(const Words& words) {
-    context_.AddMetadata(kserve::kClass, get(words, "class", "chat"));
-    context_.AddMetadata(kserve::kTenant, get(words, "tenant", "acme"));
-    context_.AddMetadata(kserve::kSession, get(words, "session", "7f"));
-    if (words.count("session") == 0) context_.AddMetadata(kserve::kPrefix, "5c");
+  void add_metadata(const Options& options) {
+    context_.AddMetadata(kserve::kClass, option(options, "class", "chat"));
+    context_.AddMetadata(kserve::kTenant, option(options, "tenant", "acme"));
+    context_.AddMetadata(kserve::kSession, option(options, "session", "7f"));
+    if (options.count("session") == 0) context_.AddMetadata(kserve::kPrefix, "5c");
     context_.AddMetadata(kserve::kPromptTokens, "100");
     context_.AddMetadata(kserve::kPrefixTokens, "80");
-    context_.AddMetadata(kserve::kExpires, get(words, "expires", "8000"));
+    context_.AddMetadata(kserve::kExpires, option(options, "expires", "8000"));
   }
   void infer(const inference::ModelInferRequest& request) {
     inference::ModelInferResponse response;
@@ -416,8 +423,8 @@
     events = status.ok() ? 1 : 0;
     finish(status);
   }
-  // Two messages on a call that has one.
-  void twice(const inference::ModelInferRequest& request) {
+  // Sends two messages on a unary call.
+  void send_two_messages(const inference::ModelInferRequest& request) {
     struct Reactor : grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer> {
       std::promise<grpc::Status> status;
       int writes = 0, reads = 0;
@@ -445,52 +452,52 @@
     call->Write(request);
     call->WritesDone();
     inference::ModelStreamInferResponse event;
-    while (shy) std::this_thread::sleep_for(2ms);
+    while (reading_paused) std::this_thread::sleep_for(2ms);
     while (call->Read(&event)) ++events;
     finish(call->Finish());
   }
   void finish(const grpc::Status& status) {
-    const bool advice = context_.GetServerTrailingMetadata().count(kserve::kPushback) != 0;
+    const bool has_retry_advice = context_.GetServerTrailingMetadata().count(kserve::kPushback) != 0;
     switch (status.error_code()) {
       case grpc::StatusCode::OK:
-        verdict_ = "served";
+        outcome_ = "served";
         break;
       case grpc::StatusCode::UNAVAILABLE:
-        verdict_ = advice ? "unavailable" : "unavailable without advice";
+        outcome_ = has_retry_advice ? "unavailable" : "unavailable without advice";
         break;
       case grpc::StatusCode::DEADLINE_EXCEEDED:
-        verdict_ = "late";
+        outcome_ = "late";
         break;
       case grpc::StatusCode::INTERNAL:
-        verdict_ = events > 0 ? "broken" : "failed";
+        outcome_ = events > 0 ? "broken" : "failed";
         break;
       case grpc::StatusCode::INVALID_ARGUMENT:
-        verdict_ = "invalid";
+        outcome_ = "invalid";
         break;
       case grpc::StatusCode::NOT_FOUND:
-        verdict_ = "missing";
+        outcome_ = "missing";
         break;
       case grpc::StatusCode::UNIMPLEMENTED:
-        verdict_ = "unsupported";
+        outcome_ = "unsupported";
         break;
       case grpc::StatusCode::PERMISSION_DENIED:
-        verdict_ = "denied";
+        outcome_ = "denied";
         break;
       case grpc::StatusCode::ALREADY_EXISTS:
-        verdict_ = "duplicate";
+        outcome_ = "duplicate";
         break;
       case grpc::StatusCode::RESOURCE_EXHAUSTED:
-        verdict_ = "large";
+        outcome_ = "large";
         break;
       default:
-        verdict_ = "status " + std::to_string(status.error_code()) + ": " + status.error_message();
+        outcome_ = "status " + std::to_string(status.error_code()) + ": " + status.error_message();
     }
     done_ = true;
   }
   std::shared_ptr<grpc::Channel> channel_;
   std::unique_ptr<inference::GRPCInferenceService::Stub> stub_;
   grpc::ClientContext context_;
-  std::string verdict_;
+  std::string outcome_;
   std::atomic<bool> done_ = false;
   std::thread thread_;
 };
@@ -499,25 +506,25 @@
 
 Behaviour::End Behaviour::play(const std::function<bool(int)>& emit) {
   ++calls;
-  const auto wait_until = [this, &emit](const std::atomic<bool>& flag, bool ticking) {
+  const auto wait_until = [this, &emit](const std::atomic<bool>& flag, bool emitting) {
     for (int n = 0; !flag && !stopping; ++n) {
-      if (ticking && n % 10 == 0 && !emit(n / 10)) return false;
+      if (emitting && n % 10 == 0 && !emit(n / 10)) return false;
       std::this_thread::sleep_for(5ms);
     }
     return true;
   };
   if (kind == "error") return End::failed;
   if (kind == "reject") return End::rejected;
-  if (kind == "full") return End::on_request_shed;
-  if (kind == "gated" && !emit(0)) return End::broken;  // one event at least, released or not
-  if (kind == "gated") return wait_until(released, true) ? End::whole : End::broken;
+  if (kind == "full") return End::shed;
+  if (kind == "gated" && !emit(0)) return End::broken;  // at least one event, even if already released
+  if (kind == "gated") return wait_until(released, true) ? End::complete : End::broken;
   for (int n = 0; n < events && kind != "hang" && kind != "none"; ++n) {
     if (!emit(n)) return End::broken;
     if (kind == "trickle") std::this_thread::sleep_for(25ms);
   }
-  if (kind == "stream" || kind == "trickle" || kind == "flood" || kind == "none") return End::whole;
+  if (kind == "stream" || kind == "trickle" || kind == "flood" || kind == "none") return End::complete;
   if (kind == "break")
-    std::this_thread::sleep_for(50ms);  // so that the events are not overtaken by the break
+    std::this_thread::sleep_for(50ms);  // the events must arrive before the connection is closed
   if (kind != "break") wait_until(stopping, false);
   return End::broken;
 }
@@ -557,16 +564,16 @@
 }
 
 std::unique_ptr<Replica> make_replica(Protocol protocol, const std::string& kind, int events,
-                                      const Words& words) {
+                                      const Options& options) {
   std::unique_ptr<Replica> out;
   if (kind == "refuse") {
-    out = std::make_unique<DeadReplica>();
+    out = std::make_unique<RefusingReplica>();
   } else if (kind.rfind("h2.", 0) == 0) {
-    out = make_h2_replica(words);
+    out = make_h2_replica(options);
   } else if (protocol == Protocol::http) {
     out = std::make_unique<HttpReplica>();
   } else {
-    out = std::make_unique<GrpcReplica>(words);
+    out = std::make_unique<GrpcReplica>(options);
   }
   out->behaviour.kind = kind;
   out->behaviour.events = events;
@@ -613,9 +620,9 @@
 }
 
 std::unique_ptr<Client> make_client(Protocol protocol, unsigned short port, const std::string& id,
-                                    Words words) {
-  if (protocol == Protocol::http) return std::make_unique<HttpClient>(port, id, std::move(words));
-  return std::make_unique<GrpcClient>(port, id, words);
+                                    Options options) {
+  if (protocol == Protocol::http) return std::make_unique<HttpClient>(port, id, std::move(options));
+  return std::make_unique<GrpcClient>(port, id, options);
 }
 
 std::unique_ptr<Client> make_raw_client(unsigned short port, const std::string& bytes) {
@@ -632,17 +639,17 @@
     call_ = stub_->ModelStreamInfer(&context_);
     reader_ = std::thread([this] {
       inference::ModelStreamInferResponse event;
-      while (call_->Read(&event)) take(event);
+      while (call_->Read(&event)) on_message(event);
       const grpc::Status status = call_->Finish();
       const std::lock_guard lock(mutex_);
-      ended_ = status.ok() ? "OK" : "status " + std::to_string(status.error_code());
+      final_status_ = status.ok() ? "OK" : "status " + std::to_string(status.error_code());
     });
   }
   ~GrpcStream() override {
-    drop();
+    cancel();
     reader_.join();
   }
-  void ask(const std::string& id, const std::string& model, long timeout_us) override {
+  void send_request(const std::string& id, const std::string& model, long timeout_us) override {
     inference::ModelInferRequest request;
     request.set_id(id);
     request.set_model_name(model);
@@ -650,20 +657,20 @@
     call_->Write(request);
   }
   void half_close() override { call_->WritesDone(); }
-  void drop() override { context_.TryCancel(); }
-  int answers(const std::string& id) override {
+  void cancel() override { context_.TryCancel(); }
+  int response_count(const std::string& id) override {
     const std::lock_guard lock(mutex_);
-    return answers_[id];
+    return response_counts_[id];
   }
   std::string error(const std::string& id) override {
     const std::lock_guard lock(mutex_);
     return errors_[id];
   }
-  std::string ended() override {
+  std::string final_status() override {
     for (int i = 0; i < 15000; ++i) {
       {
         const std::lock_guard lock(mutex_);
-        if (!ended_.empty()) return ended_;
+        if (!final_status_.empty()) return final_status_;
       }
       std::this_thread::sleep_for(2ms);
     }
@@ -671,14 +678,14 @@
   }
 
  private:
-  void take(const inference::ModelStreamInferResponse& event) {
+  void on_message(const inference::ModelStreamInferResponse& event) {
     const std::lock_guard lock(mutex_);
     const auto& response = event.infer_response();
     if (!event.error_message().empty()) {
       errors_[response.id()] = event.error_message();
-    } else if (const int n = std::stoi(response.model_version()); n >= last_[response.id()]) {
-      last_[response.id()] = n;  // a gated replica counts its first one twice
-      ++answers_[response.id()];
+    } else if (const int n = std::stoi(response.model_version()); n >= last_event_[response.id()]) {
+      last_event_[response.id()] = n;  // equal is in order: a gated replica sends number 0 twice
+      ++response_counts_[response.id()];
     } else {
       errors_[response.id()] = "out of order";
     }
@@ -688,9 +695,9 @@
   std::unique_ptr<grpc::ClientReaderWriter<inference::ModelInferRequest, inference::ModelStreamInferResponse>>
       call_;
   std::mutex mutex_;
-  std::map<std::string, int> answers_, last_;
+  std::map<std::string, int> response_counts_, last_event_;
   std::map<std::string, std::string> errors_;
-  std::string ended_;
+  std::string final_status_;
   std::thread reader_;
 };
 }  // namespace
@@ -703,13 +710,13 @@
   for (int i = 0; i < 2; ++i)
     stubs[static_cast<std::size_t>(i)] =
         inference::GRPCInferenceService::NewStub(channel_to(i == 0 ? replica : router, {}));
-  const auto stream = [&](std::size_t to, int n, double& first_us, double& whole_s) {
+  const auto stream = [&](std::size_t to, int number, double& first_latency_us, double& stream_seconds) {
     grpc::ClientContext context;
     context.AddMetadata(kserve::kClass, "chat");
     context.AddMetadata(kserve::kTenant, "acme");
-    context.AddMetadata(kserve::kSession, std::to_string(n));
+    context.AddMetadata(kserve::kSession, std::to_string(number));
     inference::ModelInferRequest request;
-    request.set_id("m" + std::to_string(to) + "-" + std::to_string(n));
+    request.set_id("m" + std::to_string(to) + "-" + std::to_string(number));
     request.set_model_name("shared");
     const auto from = Clock::now();
     const auto call = stubs[to]->ModelStreamInfer(&context);
@@ -718,56 +725,58 @@
     inference::ModelStreamInferResponse event;
     int events = 0;
     while (call->Read(&event)) {
-      if (++events == 1) first_us = std::chrono::duration<double, std::micro>(Clock::now() - from).count();
+      if (++events == 1)
+        first_latency_us = std::chrono::duration<double, std::micro>(Clock::now() - from).count();
     }
     call->Finish();
-    whole_s = std::chrono::duration<double>(Clock::now() - from).count();
+    stream_seconds = std::chrono::duration<double>(Clock::now() - from).count();
     return events;
   };
-  std::array<std::vector<double>, 2> first;
-  std::array<double, 2> whole{};
+  std::array<std::vector<double>, 2> first_message_us;
+  std::array<double, 2> total_seconds{};
   std::array<long, 2> events{};
   for (int n = 0; n < requests; ++n) {
     for (std::size_t to = 0; to < 2; ++to) {
-      double first_us = 0.0, whole_s = 0.0;
-      events[to] += stream(to, n, first_us, whole_s);
-      if (n < requests / 10) continue;  // both warm
-      first[to].push_back(first_us);
-      whole[to] += whole_s;
+      double first_latency_us = 0.0, stream_seconds = 0.0;
+      events[to] += stream(to, n, first_latency_us, stream_seconds);
+      if (n < requests / 10) continue;  // warm-up
+      first_message_us[to].push_back(first_latency_us);
+      total_seconds[to] += stream_seconds;
     }
   }
-  for (auto& f : first) std::sort(f.begin(), f.end());
-  const auto at = [&](std::size_t to, double q) {
-    return first[to][static_cast<std::size_t>(q * static_cast<double>(first[to].size() - 1))];
+  for (auto& latencies : first_message_us) std::sort(latencies.begin(), latencies.end());
+  const auto percentile = [&](std::size_t target, double quantile) {
+    return first_message_us[target][static_cast<std::size_t>(
+        quantile * static_cast<double>(first_message_us[target].size() - 1))];
   };
   for (std::size_t to = 0; to < 2; ++to)
     std::printf("%s requests=%zu first_p50_us=%.0f first_p99_us=%.0f messages_per_s=%.0f\n",
-                to == 0 ? "straight" : "through ", first[to].size(), at(to, 0.5), at(to, 0.99),
-                static_cast<double>(events[to]) * 0.9 / whole[to]);
-  std::printf("added first_p50_us=%.0f first_p99_us=%.0f\n", at(1, 0.5) - at(0, 0.5),
-              at(1, 0.99) - at(0, 0.99));
+                to == 0 ? "straight" : "through ", first_message_us[to].size(), percentile(to, 0.5),
+                percentile(to, 0.99), static_cast<double>(events[to]) * 0.9 / total_seconds[to]);
+  std::printf("added first_p50_us=%.0f first_p99_us=%.0f\n", percentile(1, 0.5) - percentile(0, 0.5),
+              percentile(1, 0.99) - percentile(0, 0.99));
 }
 
-void measure_handshakes(unsigned short port, const Words& words, int n) {
-  Words own = words;
-  own["own"] = "";
+void measure_handshakes(unsigned short port, const Options& options, int connections) {
+  Options fresh_connection_options = options;
+  fresh_connection_options["own"] = "";
   const auto from = std::chrono::steady_clock::now();
-  for (int i = 0; i < n; ++i) {
-    const auto stub = inference::GRPCInferenceService::NewStub(channel_to(port, own));
+  for (int i = 0; i < connections; ++i) {
+    const auto stub = inference::GRPCInferenceService::NewStub(channel_to(port, fresh_connection_options));
     grpc::ClientContext context;
     inference::ServerLiveResponse response;
-    if (!stub->ServerLive(&context, {}, &response).ok()) throw std::runtime_error("a call failed");
+    if (!stub->ServerLive(&context, {}, &response).ok()) throw std::runtime_error("ServerLive call failed");
   }
   std::printf("connections_per_s=%.0f\n",
-              n / std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count());
+              connections / std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count());
 }
 
 std::string grpc_health(unsigned short port, const std::string& service) {
-  // grpc.health.v1 is two small messages: a name in, a number out. Both are field 1, as StringValue and
-  // UInt32Value have it, so no schema of its own is needed.
-  google::protobuf::StringValue asked;
-  asked.set_value(service);
-  const grpc::ByteBuffer request = kserve::to_buffer(asked.SerializeAsString());
+  // The request of grpc.health.v1 has a string and the response a number, both as field 1: wire-compatible
+  // with StringValue and UInt32Value, so its schema is not needed.
+  google::protobuf::StringValue check_request;
+  check_request.set_value(service);
+  const grpc::ByteBuffer request = kserve::to_buffer(check_request.SerializeAsString());
   grpc::ByteBuffer response;
   grpc::TemplatedGenericStub<grpc::ByteBuffer, grpc::ByteBuffer> stub(channel_to(port, {}));
   grpc::ClientContext context;
@@ -781,7 +790,7 @@
   return state.value() == 1 ? "SERVING" : "NOT_SERVING";
 }
 
-std::string grpc_describe(unsigned short port, const std::string& model, const std::string& version) {
+std::string grpc_model_metadata(unsigned short port, const std::string& model, const std::string& version) {
   const auto stub = inference::GRPCInferenceService::NewStub(channel_to(port, {}));
   grpc::ClientContext context;
   inference::ModelMetadataRequest request;
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,5 +1,5 @@
-// Stand-ins for what surrounds the router: discovery, model replicas, clients. Blocking, a thread for each
-// connection; what they are told to do comes from the scenario.
+// Stand-ins for the systems around the router: discovery, model replicas and clients. They use blocking I/O
+// with one thread per connection; the scenario sets their behaviour.
 #pragma once
 
 #include <atomic>
@@ -16,26 +16,27 @@
 
 namespace flintglade::tests {
 
-using Words = std::map<std::string, std::string>;
+// The NAME=VALUE options of a scenario step; a name without a value has an empty one.
+using Options = std::map<std::string, std::string>;
 
-class Behaviour {  // shared by both kinds of replica
+class Behaviour {  // shared by the HTTP, gRPC and HTTP/2 replicas
  public:
   std::string kind = "stream", text;
   std::string padding() const { return kind == "flood" ? std::string(16384, 'p') : ""; }
   int events = 1;
   std::atomic<int> calls = 0;
-  std::atomic<int> described = 0;  // gRPC: how often it was asked for its model's metadata
+  std::atomic<int> metadata_calls = 0;  // gRPC: number of ModelMetadata calls received
   std::atomic<bool> released = false;
   std::atomic<bool> stopping = false;
-  std::mutex mutex;                             // of what follows
-  std::map<std::string, std::string> metadata;  // gRPC: of the last request
+  std::mutex mutex;                             // guards metadata
+  std::map<std::string, std::string> metadata;  // gRPC: metadata of the last request
 
-  enum class End { whole, broken, failed, on_request_shed, rejected };
-  // Plays the behaviour; emit gives false once the other side is gone.
+  enum class End { complete, broken, failed, shed, rejected };
+  // Runs the behaviour for one call; emit(n) sends event n and returns false once the peer has disconnected.
   End play(const std::function<bool(int)>& emit);
 };
 
-// Accepts connections on loopback and runs serve for each on a thread.
+// Accepts connections on loopback and runs serve for each of them on its own thread.
 class Listener {
  public:
   using Serve = std::function<void(boost::asio::ip::tcp::socket&)>;
@@ -61,19 +62,20 @@
   virtual ~Replica() = default;
   virtual unsigned short port() const = 0;
 };
-// words: cert and trust, as for a client.
+// options: 'cert' and 'trust', as for a client.
 std::unique_ptr<Replica> make_replica(Protocol protocol, const std::string& kind, int events,
-                                      const Words& words = {});
+                                      const Options& options = {});
 
 class Discovery {
  public:
   Discovery();
   ~Discovery();
   unsigned short port() const { return port_; }
-  void change(const std::string& entries);  // JSON objects, separated by commas
+  // Publishes a new revision; entries: JSON objects, separated by commas.
+  void change(const std::string& entries);
   void down();
   void silent() { silent_ = true; }
-  unsigned short move();  // to another address; the old one closes what is open
+  unsigned short move();  // to another port; connections to the old one are closed
 
  private:
   void serve(boost::asio::ip::tcp::socket& socket);
@@ -87,39 +89,40 @@
 class Client {
  public:
   std::atomic<int> events = 0;
-  std::atomic<bool> shy = false;  // reads nothing for now
+  std::atomic<bool> reading_paused = false;  // while set, the client reads nothing
   virtual ~Client() = default;
   virtual void close() = 0;
-  virtual std::string verdict() = 0;  // waits for the end
+  virtual std::string outcome() = 0;  // waits until the response has ended
 };
-// words as 'send' has them; folder: where certificates are.
+// options: those of the step 'send'; 'folder' is where the certificates are.
 std::unique_ptr<Client> make_client(Protocol protocol, unsigned short port, const std::string& id,
-                                    Words words);
+                                    Options options);
 std::unique_ptr<Client> make_raw_client(unsigned short port, const std::string& bytes);
 // One ModelStreamInfer stream that carries many requests.
 class Stream {
  public:
   virtual ~Stream() = default;
-  // timeout_us: of this request, as the parameter 'timeout'; 0: none.
-  virtual void ask(const std::string& id, const std::string& model, long timeout_us) = 0;
+  // timeout_us: sent as the request's parameter 'timeout'; 0: not sent.
+  virtual void send_request(const std::string& id, const std::string& model, long timeout_us) = 0;
   virtual void half_close() = 0;
-  virtual void drop() = 0;
-  virtual int answers(const std::string& id) = 0;        // in order, whatever else came between
-  virtual std::string error(const std::string& id) = 0;  // of a request; empty: none
-  virtual std::string ended() = 0;                       // the stream's status, by name; waits for it
+  virtual void cancel() = 0;
+  virtual int response_count(const std::string& id) = 0;  // responses received in order
+  virtual std::string error(const std::string& id) = 0;   // of a request; empty if it has not failed
+  virtual std::string final_status() = 0;                 // waits for the stream's status: OK or 'status N'
 };
 std::unique_ptr<Stream> make_stream(unsigned short port);
-// Figures, printed: requests of one message and a stream of many, through the router and straight to the
-// replica, in turn, by the same client.
+// Prints latency to the first message and message rate of streams sent alternately through the router and
+// directly to the replica by the same client.
 void measure_grpc(unsigned short router, unsigned short replica, int requests);
-// Figures, printed: connections a second, one after another, each with a call and TLS as the words say.
-void measure_handshakes(unsigned short port, const Words& words, int n);
-// What grpc.health.v1 says of a service: SERVING, NOT_SERVING, or the status of the call.
+// Prints the rate of connections opened one after another, each with one call, and with TLS if the options
+// ask for it.
+void measure_handshakes(unsigned short port, const Options& options, int connections);
+// The grpc.health.v1 state of a service: SERVING, NOT_SERVING, NOT_FOUND, or the error message of the call.
 std::string grpc_health(unsigned short port, const std::string& service);
-// What ModelMetadata says of a model, in one line; or the name of the status.
-std::string grpc_describe(unsigned short port, const std::string& model, const std::string& version);
-int http_status(unsigned short port, const std::string& path);  // 0: no answer
-// One call on a connection of its own: "STATUS BODY"; empty: no answer.
+// The ModelMetadata response for a model, in one line; or the status name or message of the call.
+std::string grpc_model_metadata(unsigned short port, const std::string& model, const std::string& version);
+int http_status(unsigned short port, const std::string& path);  // 0: no response
+// Makes one call on a new connection. Returns "STATUS BODY"; empty if there was no response.
 std::string http_call(unsigned short port, const std::string& method, const std::string& path);
 
 }  // namespace flintglade::tests
--- a/tests/tools/commit_msg_test.sh
+++ b/tests/tools/commit_msg_test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# What .githooks/commit-msg takes and refuses, in a repository of its own.
+# Checks which commits .githooks/commit-msg accepts and rejects, in a temporary repository.
 #
 #   commit_msg_test.sh HOOK
 set -euo pipefail
@@ -16,7 +16,7 @@
 git config core.hooksPath hooks
 
 failures=0
-# expect taken|refused WHAT FILE MESSAGE: a commit of this file with this message.
+# expect taken|refused DESCRIPTION FILE MESSAGE: commits a change of this file with this message.
 expect() {
   echo "$RANDOM $2" >> "$3"
   git add "$3"
