--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -51,10 +51,10 @@
   CHECK(io.poll() == 0 && io.stopped());  // no timer is pending
   int fired = 0;
   http::IdleTimer idle_timer(io, c.ports, [&fired] { ++fired; });
-  idle_timer.by(core::kNever);
-  idle_timer.by(c.ports.time + core::kSecond);
-  idle_timer.by(c.ports.time);
-  idle_timer.by(c.ports.time + 2 * core::kSecond);
+  idle_timer.fire_by(core::kNever);
+  idle_timer.fire_by(c.ports.time + core::kSecond);
+  idle_timer.fire_by(c.ports.time);
+  idle_timer.fire_by(c.ports.time + 2 * core::kSecond);
   io.restart();
   io.run();
   CHECK(fired == 1);
@@ -97,7 +97,7 @@
       CHECK(complete_events.empty() || complete_events.back() == '\n');
       output += complete_events;
     }
-    CHECK(output + stream.rest() == input);
+    CHECK(output + stream.finish() == input);
     CHECK(stream.cached_tokens() == 4096);
   }
 }
@@ -512,30 +512,32 @@
 }
 
 void connections_are_evicted_in_order() {
-  using http::Client;
   using http::ConnectionEviction;
+  using http::ConnectionState;
   constexpr Micros now = 100 * core::kSecond, ms = core::kMilli;
   struct Row {
-    Client client;
-    int order;
+    ConnectionState state;
+    int rank;
   };
   const Row rows[] = {
-      // Client fields: busy, asked, half, connected, moved
-      {{true, true, false, 0, 0}, ConnectionEviction::kNobody},  // a request is in progress: never evicted
+      // busy, received_request, partial_request, connected_at, last_activity
+      {{true, true, false, 0, 0},
+       ConnectionEviction::kNotEvictable},  // a request is in progress: never evicted
       {{false, true, false, 0, now - 90 * ms},
-       ConnectionEviction::kNobody},                 // its response may still be in transit
+       ConnectionEviction::kNotEvictable},           // its response may still be in transit
       {{false, true, false, 0, now - 110 * ms}, 0},  // its response has been delivered
       {{false, false, false, now - 240 * ms, now - 240 * ms},
-       ConnectionEviction::kNobody},  // new: it may be about to send a request
+       ConnectionEviction::kNotEvictable},  // new: it may be about to send a request
       {{false, false, false, now - 260 * ms, now - 260 * ms}, 1},
       {{false, false, true, now - 2000 * ms, now - 200 * ms},
-       ConnectionEviction::kNobody},  // it is still sending its request in pieces
+       ConnectionEviction::kNotEvictable},  // it is still sending its request in pieces
       {{false, false, true, now - 2000 * ms, now - 300 * ms}, 2},
       {{false, true, true, 0, now - 300 * ms}, 2},  // stalled in the middle of its next request
   };
-  for (const Row& row : rows) CHECK(ConnectionEviction::order(row.client, now) == row.order);
+  for (const Row& row : rows) CHECK(ConnectionEviction::eviction_rank(row.state, now) == row.rank);
   const ConnectionEviction eviction(80);
-  CHECK(!eviction.filling(40) && eviction.filling(41) && !eviction.pressing(70) && eviction.pressing(71));
+  CHECK(!eviction.above_soft_limit(40) && eviction.above_soft_limit(41) && !eviction.above_hard_limit(70) &&
+        eviction.above_hard_limit(71));
 }
 
 void metrics_are_rendered_as_text() {
