--- a/src/commands/shared_state_bridge.cpp
+++ b/src/commands/shared_state_bridge.cpp
@@ -122,9 +122,7 @@
           : shared_state_->restore(coordination::CoordinationRuntime::now(), bytes);
   if (!restored.ok()) {
     log::event(Level::warn, "shared_counters_rejected",
-               {{"file", snapshot_path_},
-                {"why", std::string(restored.message())},
-                {"starts", "without the saved counters"}});
+               {{"file", snapshot_path_}, {"why", std::string(restored.message())}, {"starts", "without"}});
   }
 }
 
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -481,7 +481,7 @@
                                  : " in each " + format_number(budget.window_s()) + " s") +
              " for the whole fleet; " + format_number(amount * reserved_share / fleet.shared().routers()) +
              " of it reserved for each router; beyond the budget: " +
-             (budget.beyond() == deploy::Budget::LAST ? "shed first" : "rejected") + "\n";
+             (budget.beyond() == deploy::Budget::LAST ? "last" : "refused") + "\n";
     }
     if (fleet.shared().counts()) out += "fleet: request counts are shared\n";
     if (fleet.shared().has_hearsay()) out += "fleet: health of replicas is shared\n";
