--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -26,7 +26,9 @@
 // A configured job.
 struct JobSettings {
   std::string name;
-  std::string site;  // the owner must be a router of this site; empty: any site
+  // The owner is chosen among the routers of this site; empty: among all. The site of an owner that the
+  // operator requests is not checked.
+  std::string site;
 };
 
 struct LeaseTimes {
--- a/src/core/attempt_handler.cpp
+++ b/src/core/attempt_handler.cpp
@@ -174,7 +174,8 @@
   AttemptState& attempt = *running.attempt;
   attempt.running = false;
   const bool is_streaming = request.is_streaming_attempt(id);
-  // A response that completed in the iteration in which its attempt was stopped did not reach the client.
+  // The client gets nothing of a response that completed in the iteration in which its attempt was stopped,
+  // or that completed without any event although the request does not allow an empty response.
   if (outcome == Outcome::ok && !is_streaming) outcome = Outcome::cancelled;
   const std::size_t index = static_cast<std::size_t>(outcome) % context_.counters.outcomes.size();
   ++context_.counters.outcomes[index];
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -172,7 +172,8 @@
   send_query(now, std::move(query));
 }
 
-// Picks servers round robin. Servers in backoff come last, after them those already tried for this query.
+// Picks servers round robin. Servers in backoff come last, after them those already tried for this query. A
+// query over TCP keeps the server that it was sent to over UDP.
 void Resolver::send_query(Micros now, Query query) {
   std::size_t best = 0;
   std::tuple<bool, Micros> best_rank{true, kNever};
@@ -416,6 +417,8 @@
   schedule_notification(key, changed);
 }
 
+// Sends a query again over UDP, or fails it if its tries are used up. server_failed: the server is put in
+// backoff.
 void Resolver::retry(Micros now, QueryId id, const std::string& why, bool server_failed) {
   const auto it = queries_.find(id);
   Query query = std::move(it->second);
--- a/src/endpoint_sources/endpoint_merger.cpp
+++ b/src/endpoint_sources/endpoint_merger.cpp
@@ -161,8 +161,8 @@
                                 bool first) {
   const bool full = update.kind != policy::ListKind::delta;
   // A list whose version went backwards (its service was restored, or another instance answered) may contain
-  // replicas that it has already removed. They return only after the delay, as it is unknown which of the two
-  // lists is right.
+  // replicas that the list received before it had removed. They return only after the delay, as it is unknown
+  // which of the two lists is right.
   const bool version_went_back = !first && update.version < source.version;
   source.version = full ? update.version : std::max(source.version, update.version);
   if (full) source.list_entries.clear();
@@ -204,7 +204,8 @@
     return record_answer(now, source);
   source.fingerprint = answer.fingerprint;
   std::map<std::string, AddressReport> addresses;
-  // Weights are relative within one priority (RFC 2782). A replica with the mean weight has size 1.
+  // Weights are relative within one priority (RFC 2782). A replica with the mean of the positive weights has
+  // size 1.
   std::map<std::uint16_t, std::pair<double, int>> weights;
   for (const DnsAddress& target : answer.addresses) {
     auto& [sum, count] = weights[target.priority];
--- a/src/endpoint_sources/endpoint_merger.h
+++ b/src/endpoint_sources/endpoint_merger.h
@@ -21,7 +21,7 @@
   reported = 2,             // a source that answers reports it, and no source says otherwise
   draining = 3,             // a source reports it as draining
   removed = 4,              // a source reports it as removed, or no longer reports it
-  reappeared = 5,           // reported again after a removal, but not yet for Settings::return_delay
+  reappeared = 5,           // ready again after removal or draining, but not yet for Settings::return_delay
   removal_unconfirmed = 6,  // missing from an answer that removes too many addresses at once
   stale = 7,                // only sources that currently fail report it
   cached = 8,               // from the list cached before the start; no source has answered yet
@@ -32,8 +32,8 @@
 struct Settings {
   // A DNS answer that removes more than this fraction of the source's addresses must be confirmed ...
   double max_removed_fraction = 0.5;
-  Micros confirm_delay = 30 * core::kSecond;    // ... by another answer after this time
-  Micros return_delay = 5 * core::kSecond;      // until a removed address that reappears is ready
+  Micros confirm_delay = 30 * core::kSecond;  // ... by another answer after this time
+  Micros return_delay = 5 * core::kSecond;    // until an address that was removed or draining is ready again
   Micros source_stale = 86400 * core::kSecond;  // a source that fails for longer is ignored
   double spill_below = 0.7;                     // ready fraction below which a priority group spills traffic
   double spill_end = 0.85;                      // ready fraction at which the group takes all of it again
@@ -73,7 +73,9 @@
   // Removed together with most of its source: the zone went away, which does not mean that the replica
   // restarted.
   bool mass_removal = false;
-  bool joined_later = false;  // first reported after the source's first answer: assumed to have just started
+  // First reported after the source's first answer, or reported again after a removal that was no mass
+  // removal: assumed to have just started.
+  bool joined_later = false;
 };
 
 struct ReportSummary {
@@ -147,7 +149,7 @@
     std::string error;
     std::uint64_t answers = 0, failures = 0, unconfirmed_removals = 0;
     std::map<core::ReplicaId, core::Endpoint> list_entries;  // list sources: the list by its ids
-    std::uint32_t version = 0;                               // list sources: the highest version received
+    std::uint32_t version = 0;  // list sources: of the last full list, or of a later delta if higher
   };
   struct PriorityGroup {
     double accepted_fraction = 1.0;  // of the traffic offered to it
--- a/src/endpoint_sources/endpoint_sources.cpp
+++ b/src/endpoint_sources/endpoint_sources.cpp
@@ -17,7 +17,9 @@
 // it requests the list itself.
 constexpr Micros kListRetryDelay = 500 * core::kMilli, kMaxListRetryDelay = 2 * core::kSecond;
 
-constexpr std::size_t kMaxLoggedEndpoints = 20;  // of more changes at once, only the number is logged
+// Of changes that happen at once, this many are logged one by one; if there are more, then only their total
+// number.
+constexpr std::size_t kMaxLoggedEndpoints = 20;
 
 std::vector<std::string> dns_names(const std::vector<SourceSpec>& specs) {
   std::vector<std::string> out;
--- a/src/hot_restart/limit_partition.h
+++ b/src/hot_restart/limit_partition.h
@@ -27,8 +27,8 @@
   std::size_t body_bytes = 0;
 };
 
-// Descriptors that a process always leaves free, so that another process can start beside it: the event loop,
-// listeners and watch of the new process need 14.
+// Descriptors that a process leaves free while it is alone, so that another process can start beside it: the
+// event loop, listeners and watch of the new process need 14.
 inline constexpr std::size_t kStartReserveDescriptors = 24;
 // Descriptors that each other process may have opened since it last published its usage.
 inline constexpr std::size_t kUsageSlackDescriptors = 8;
--- a/src/hot_restart/snapshot.h
+++ b/src/hot_restart/snapshot.h
@@ -38,8 +38,9 @@
   core::Broker::ProcessSnapshot snapshot;
   bool same_list = false;  // writer and reader use the same discovery service
 };
-// In the result, all numbers are finite and in the range that the decision module supports. An error says in
-// one line why the snapshot cannot be used.
+// In the result, all numbers of the learned state are finite and in the range that the decision module
+// supports. Those of the replicas are not checked here: policy/replica_table.cpp corrects sizes and start
+// times. An error says in one line why the snapshot cannot be used.
 absl::StatusOr<DecodedSnapshot> decode_snapshot(std::string_view bytes, const Origin& reader,
                                                 core::Micros now);
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -550,9 +550,12 @@
   });
 }
 
+// More connections than the limit are no reason to shed as long as fewer requests are in flight: then some
+// connections have no request in flight.
 bool HttpServer::should_shed() const {
   return over_connection_limit() && broker_.requests_in_flight() >= settings_.connection_limit();
 }
+
 // Idle connections have to be evicted, or no client can be accepted: sweeps are then made at short intervals.
 bool HttpServer::under_connection_pressure() const {
   return eviction().above_soft_limit(connections_.size()) || (!accepting_ && acceptor_.is_open());
--- a/src/kserve/server.cpp
+++ b/src/kserve/server.cpp
@@ -336,6 +336,8 @@
     finish_if_ready();
   }
 
+  // Finishes an ending call once no write is in progress and, unless it is cancelled, all messages are
+  // written.
   void finish_if_ready() {
     if (!ending_ || finished_ || writing_ || (!outgoing_.empty() && !cancelled_)) return;
     finished_ = true;
@@ -650,7 +652,7 @@
   const bool ready = broker_.ready() && !draining_;
   std::map<std::string, bool> now{{"", ready}, {"inference.GRPCInferenceService", ready}};
   for (const Model& model : settings_.models) now[model.name] = ready;
-  // Models that a reload has removed.
+  // Models that a reload has removed are reported as not serving.
   for (const auto& [name, was_healthy] : reported_health_) now.try_emplace(name, false);
   for (const auto& [name, is_healthy] : now) {
     const auto before = reported_health_.find(name);
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -156,8 +156,9 @@
   }
 }
 
-// A process with this router's name and a later birth that does not answer is an earlier process of this
-// router, started while its clock ran ahead. Takes a still later birth, which supersedes it.
+// A process with this router's name and a later birth that does not answer is taken for an earlier process of
+// this router, started while its clock ran ahead, although a later process that cannot be reached is silent,
+// too. Takes a still later birth, which supersedes it.
 void Swim::take_name_from_silent_rival(Micros) {
   self_.birth = std::max(self_.birth, rival_.birth + 1);
   incarnation_ = 1;
@@ -361,8 +362,8 @@
 }
 
 // A packet from a member listed as dead or suspected proves that it is alive, but not that other members can
-// reach it. Its listed status is sent to it, so that it can refute it. A process whose name a later process
-// has taken is notified of that process.
+// reach it. Its listed status is queued as gossip, so that it learns of it and can refute it. In the same
+// way, a process whose name a later process has taken learns of that process.
 void Swim::report_status_to_member(const std::string& name, std::uint64_t birth) {
   const auto it = peers_.find(name);
   if (it == peers_.end() || birth == 0) return;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -21,7 +21,8 @@
   // load_window_s: the time window of load; a fraction of it is the window for answers.
   Admission(const Settings& settings, LearnedState& learned, double load_window_s);
 
-  // Whether this new request is rejected. random: a number in [0, 1) drawn for this request.
+  // Decides whether this new request is rejected, and adds the request to the mean work of its class and to
+  // the mean value. To be called once per request. random: a number in [0, 1) drawn for this request.
   bool rejects(const Request& request, double random);
   // A request was answered in time or late. A request that was never answered counts as late.
   void on_answer(double now, const Request& request, bool late);
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -67,7 +67,7 @@
     case Outcome::ok:
     case Outcome::cancelled:
     case Outcome::inconclusive:
-      return;  // recorded with the first event, or caused by this router
+      return;  // recorded by record_latency(), or caused by this router
   }
 }
 
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -28,7 +28,8 @@
   // A new process runs on this replica: resets the state of the old one.
   void on_replica_started(int index, double now);
 
-  // The first event of an attempt arrived, or has not arrived although a later attempt got its first event.
+  // The first event of an attempt arrived, or has not arrived although a later attempt got its first event,
+  // or the attempt succeeded without any event.
   void record_latency(const Request& request, const Attempt& attempt, double now);
   // An attempt has had no response for longer than usual. Recorded now rather than when the attempt ends.
   void record_overdue(int index, double now);
--- a/src/policy/replica_picker.h
+++ b/src/policy/replica_picker.h
@@ -19,7 +19,8 @@
 
 namespace flintglade::policy {
 
-// The number of rehashes of a key before all members are tried in the order of the slots.
+// The number of slots that are tried for a key, the first one without a rehash, before all members are tried
+// in the order of the slots.
 inline constexpr int kMaxRehashes = 48;
 
 class ReplicaPicker {
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -108,8 +108,10 @@
   }
 }
 
-// No replica is eligible now: none is ready, or the remaining ones are in slow start with exhausted budgets.
-// The request is held while that can change. Once every ready replica has been tried, it cannot.
+// No replica is eligible now: none is ready, the ready ones have been tried or are barred by the idempotency
+// scope, or the remaining ones are in slow start with exhausted budgets. A request that was never sent is
+// held in each of these cases, until held_until(). After an attempt it is held only while a ready replica is
+// left that it may be sent to: it does not wait for another one to become ready.
 void RequestLifecycle::hold_or_give_up(Request& request, EventContext context) {
   const double until = held_until(request, class_settings(request));
   const bool tried_all = !request.attempts.empty() && !modules_.picker.any_candidate_left(request);
--- a/src/shared/fleet_clock.h
+++ b/src/shared/fleet_clock.h
@@ -3,7 +3,8 @@
 //
 // A packet carries its sender's Unix time at sending, so a delayed packet looks like a clock that is behind.
 // Of each router's packets the one with the shortest transit time counts, as in the clock filter of NTP (RFC
-// 5905, section 10). Older measurements lose weight, since clocks drift apart.
+// 5905, section 10). Measurements of Unix time lose weight with age, since clocks drift apart; the shortest
+// transit time from a process does not age.
 //
 // No I/O. Times are microseconds of this router's monotonic clock unless stated otherwise.
 #pragma once
