--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -431,11 +431,7 @@
     server.backoff_until =
         now + static_cast<Micros>(static_cast<double>(wait) * (0.5 + 0.5 * random_fraction()));
   }
-  if (query.tried_servers.size() >= settings_.tries) {
-    const HostPort& server = servers_[query.server].address;
-    return fail_query(now, query.key,
-                      "DNS server " + config::host_port(server.host, server.port) + ": " + why);
-  }
+  if (query.tried_servers.size() >= settings_.tries) return fail_query(now, query.key, why);
   query.tcp = false;
   send_query(now, std::move(query));
 }
